--- a/internal/fleet/mesh/begin_test.go
+++ b/internal/fleet/mesh/begin_test.go
@@ -14,12 +14,12 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/network"
 )
 
-// Guards against peers that become known while the mesh begins or ends: the
-// goroutine that links with them was counted from none while the end of all was
-// waited for, which the race detector finds.
-func TestPeersBecomeKnownWhileTheMeshBeginsAndEnds(t *testing.T) {
+// Guards against a race between adding peers and the start or end of Run: the goroutine
+// of a new peer was added to a wait group whose counter was zero while Run waited for
+// it. The race detector finds this.
+func TestPeersAddedDuringStartAndStop(t *testing.T) {
 	for range 500 {
-		m := mesh.New("a:1", "a:1", 1, network.New(), &watcher{}, slog.New(slog.DiscardHandler), time.Now)
+		m := mesh.New("a:1", "a:1", 1, network.New(), &downCounter{}, slog.New(slog.DiscardHandler), time.Now)
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		wg.Go(func() { require.NoError(t, m.Run(ctx)) })
--- a/internal/fleet/mesh/heard.go
+++ b/internal/fleet/mesh/heard.go
@@ -7,42 +7,42 @@
 	"github.com/persimmonridge/persimmonridge/internal/fleet/wire"
 )
 
-// sender is who opened a stream.
+// sender identifies the peer that opened a stream.
 type sender struct{ node, address string }
 
-func (s *sender) introduce(g *wire.Gossip) {
+func (s *sender) update(g *wire.Gossip) {
 	if g.Node != "" {
 		s.node, s.address = g.Node, g.Address
 	}
 }
 
-func (m *Mesh) heard(now time.Time, from sender, g *wire.Gossip) {
+func (m *Mesh) handleGossip(now time.Time, from sender, g *wire.Gossip) {
 	m.Know(now, from.address)
-	for _, h := range g.Known {
-		m.KnowRanked(now, h.Address, h.Rank)
+	for _, heard := range g.Known {
+		m.KnowRanked(now, heard.Address, heard.Rank)
 	}
 	if g.Gone {
-		if m.tellGone(now, from, g) {
-			m.logger.Info("peer gone", "peer", from.node, "run", g.Run)
+		if m.recordExit(now, from, g) {
+			m.logger.Info("peer exited", "peer", from.node, "run", g.Run)
 		}
 		return
 	}
-	p, returned, restarted := m.tellHeard(now, from, g)
-	if returned || restarted {
-		m.tellOne(p)
-		m.logger.Info("peer heard", "peer", from.node, "run", g.Run, "rank", g.Rank, "restarted", restarted)
+	p, recovered, restarted := m.recordGossip(now, from, g)
+	if recovered || restarted {
+		m.gossipToOne(p)
+		m.logger.Info("peer alive", "peer", from.node, "run", g.Run, "rank", g.Rank, "restarted", restarted)
 	}
 }
 
-// tellGone notes that a peer said that its process ends, and tells whether that
-// is new.
-func (m *Mesh) tellGone(now time.Time, from sender, g *wire.Gossip) bool {
-	m.telling.Lock()
-	defer m.telling.Unlock()
-	limit := m.aliveFor()
+// recordExit records that a peer announced its exit, and reports whether this is the
+// first announcement.
+func (m *Mesh) recordExit(now time.Time, from sender, g *wire.Gossip) bool {
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
+	timeout := m.livenessTimeout()
 	m.mu.Lock()
 	p := m.peers[from.address]
-	first := p != nil && !p.replaced(now, g.Run, limit) && p.ended(from, g.Run)
+	first := p != nil && !p.isStaleRun(now, g.Run, timeout) && p.markExited(from, g.Run)
 	m.mu.Unlock()
 	if first {
 		m.handler.Down(now, from.node)
@@ -50,85 +50,86 @@
 	return first
 }
 
-// tellHeard notes what a peer is, and tells whether it is back, by the same or
-// another process.
-func (m *Mesh) tellHeard(now time.Time, from sender, g *wire.Gossip) (p *peer, returned, restarted bool) {
-	m.telling.Lock()
-	defer m.telling.Unlock()
-	limit := m.aliveFor()
+// recordGossip updates the state of a peer. It reports whether the peer is new or was
+// down, and whether its process was restarted.
+func (m *Mesh) recordGossip(now time.Time, from sender, g *wire.Gossip) (p *peer, recovered, restarted bool) {
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
+	timeout := m.livenessTimeout()
 	m.mu.Lock()
 	p = m.peers[from.address]
-	if p == nil || p.replaced(now, g.Run, limit) {
+	if p == nil || p.isStaleRun(now, g.Run, timeout) {
 		m.mu.Unlock()
 		return nil, false, false
 	}
 	restarted = p.Run != 0 && p.Run != g.Run
-	returned = p.down || p.Run == 0
+	recovered = p.down || p.Run == 0
 	p.Peer = Peer{
 		Node: from.node, Address: from.address, Run: g.Run, Rank: g.Rank,
-		Ready: g.Ready, Leaving: g.Leaving, Heard: now, HearsUs: g.HearsYou,
+		Ready: g.Ready, Leaving: g.Leaving, LastHeard: now, HearsUs: g.HearsYou,
 	}
-	p.down, p.gone, p.wantsUs = false, false, g.WantsYou
+	p.down, p.exited, p.selectedUs = false, false, g.WantsYou
 	if m.group != nil && !m.closed {
-		m.linkLocked(now, p, limit)
+		m.updateSenderLocked(now, p, timeout)
 	}
 	m.mu.Unlock()
 	if restarted {
 		m.handler.Down(now, from.node)
 	}
 	m.handler.Heard(now, from.node, g)
-	return p, returned, restarted
+	return p, recovered, restarted
 }
 
-// replaced tells whether a later process than that of the run lives: what the
-// former one said may arrive late, on a link of its own. A clock that was put
-// back makes the present process look like the former one, until that is silent.
-func (p *peer) replaced(now time.Time, run uint64, limit time.Duration) bool {
-	return run < p.Run && !p.down && now.Sub(p.Heard) < limit
+// isStaleRun reports whether a process with a later run is alive: messages of the
+// previous process may arrive late, on another connection. If the peer's clock was set
+// back, its current process looks stale until the previous one times out.
+func (p *peer) isStaleRun(now time.Time, run uint64, timeout time.Duration) bool {
+	return run < p.Run && !p.down && now.Sub(p.LastHeard) < timeout
 }
 
-// ended notes that the peer said that its process ends. It tells whether that is
-// new, since the last word may come several times.
-func (p *peer) ended(from sender, run uint64) bool {
-	first := !p.gone || p.Run != run
+// markExited records that the peer announced its exit. It reports whether this is the
+// first announcement, since it may arrive several times.
+func (p *peer) markExited(from sender, run uint64) bool {
+	first := !p.exited || p.Run != run
 	p.Peer = Peer{Node: from.node, Address: from.address, Run: run}
-	p.down, p.gone, p.wantsUs = true, true, false
+	p.down, p.exited, p.selectedUs = true, true, false
 	return first
 }
 
-// check notices peers that went silent: they are down, their links are made
-// anew, and in the end they are forgotten.
-func (m *Mesh) check(now time.Time) {
-	for _, node := range m.tellSilent(now) {
+// checkSilent handles peers that have become silent: they are marked down, their
+// connections are replaced, and finally they are removed.
+func (m *Mesh) checkSilent(now time.Time) {
+	for _, node := range m.recordSilent(now) {
 		m.logger.Warn("peer silent", "peer", node)
 	}
 }
 
-// tellSilent tells of the peers that have become silent, and returns those that
-// should not have. The log is told later, since a line may take a while.
-func (m *Mesh) tellSilent(now time.Time) []string {
+// recordSilent notifies the handler of peers that have become silent. It returns those
+// that still exchanged gossip with this process; the caller logs them after the locks
+// are released, since logging may block.
+func (m *Mesh) recordSilent(now time.Time) []string {
 	var down []string
-	parted := make(map[string]bool)
-	limit := m.aliveFor()
-	m.telling.Lock()
-	defer m.telling.Unlock()
+	disconnected := make(map[string]bool)
+	timeout := m.livenessTimeout()
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
 	m.mu.Lock()
 	for address, p := range m.peers {
-		silent := now.Sub(p.Heard)
-		if p.Node != "" && !p.down && silent > limit {
+		silence := now.Sub(p.LastHeard)
+		if p.Node != "" && !p.down && silence > timeout {
 			p.down = true
 			down = append(down, p.Node)
-			if !p.wanted && !p.wantsUs {
-				parted[p.Node] = true
+			if !p.selected && !p.selectedUs {
+				disconnected[p.Node] = true
 			}
 		}
-		deaf := p.Node != "" && !p.HearsUs
-		if p.cancel != nil && (silent > relinkAfter || deaf) && now.Sub(p.relink) > relinkAfter && now.Sub(p.since) > relinkAfter/2 {
-			p.relink = now
+		notHeardByPeer := p.Node != "" && !p.HearsUs
+		if p.cancel != nil && (silence > reconnectAfter || notHeardByPeer) && now.Sub(p.lastReconnect) > reconnectAfter && now.Sub(p.lastAdvertised) > reconnectAfter/2 {
+			p.lastReconnect = now
 			drain(p.queue)
-			offer(p, nil)
+			enqueue(p, nil)
 		}
-		if silent > forgetAfter && now.Sub(p.since) > forgetAfter {
+		if silence > removeAfter && now.Sub(p.lastAdvertised) > removeAfter {
 			if p.cancel != nil {
 				p.cancel()
 			}
@@ -139,5 +140,5 @@
 	for _, node := range down {
 		m.handler.Down(now, node)
 	}
-	return slices.DeleteFunc(down, func(node string) bool { return parted[node] })
+	return slices.DeleteFunc(down, func(node string) bool { return disconnected[node] })
 }
--- a/internal/fleet/mesh/herd_test.go
+++ b/internal/fleet/mesh/herd_test.go
@@ -12,11 +12,11 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/network"
 )
 
-// Guards against many schedulers at once after a return of all gateways: each
-// one waited for the others' next gossip, an interval that grows with the fleet.
-func TestGatewaysThatReturnTogetherHearEachOtherAtOnce(t *testing.T) {
+// Guards against several schedulers after all gateways restarted: each gateway waited
+// for the next gossip of the others, an interval that grows with the fleet.
+func TestSimultaneousStartDoesNotWaitForGossipInterval(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		const size, apart = 68, 4 * time.Millisecond
+		const size, startInterval = 68, 4 * time.Millisecond
 		n := network.New()
 		name := func(i int) string { return fmt.Sprintf("g%d:1", i) }
 		var peers []string
@@ -25,14 +25,14 @@
 		}
 		var all []*process
 		for i := range size {
-			all = append(all, start(t, n, name(i), uint64(i+1), &wire.Gossip{Rank: int64(i + 1), Ready: true}, peers...))
-			bubble.Pass(apart)
+			all = append(all, startProcess(t, n, name(i), uint64(i+1), &wire.Gossip{Rank: int64(i + 1), Ready: true}, peers...))
+			bubble.Pass(startInterval)
 		}
 		bubble.Pass(120 * time.Millisecond)
 		for i := 1; i < size; i++ {
-			first, _ := all[i].handler.from(name(0))
-			require.NotNil(t, first, "gateway %d has not heard the first in rank", i)
-			require.True(t, first.HearsYou, "the first in rank does not say that it hears gateway %d", i)
+			first, _ := all[i].handler.gossipFrom(name(0))
+			require.NotNil(t, first, "gateway %d has not heard the gateway of lowest rank", i)
+			require.True(t, first.HearsYou, "the gateway of lowest rank does not report that it hears gateway %d", i)
 		}
 		for _, p := range all {
 			p.stop()
--- a/internal/fleet/mesh/hubs.go
+++ b/internal/fleet/mesh/hubs.go
@@ -8,152 +8,155 @@
 )
 
 const (
-	// hubs is how many peers a process chooses to exchange gossip with: of those
-	// that it may hear, the ones of lowest rank. All processes choose nearly the
-	// same ones, so what one of these is told reaches all. With a third of the
-	// fleet gone, one time in 5,000 none of them is left.
-	hubs = 8
-	// unrankedMost is how many peers of unknown rank are wanted: as many as there
-	// are addresses in the settings, until they tell of the others.
-	unrankedMost = 3
-	// trialFor is how long a peer that is not heard counts as one of them: one
-	// attempt to link with it, and its first word.
-	trialFor = dialWithin + 50*time.Millisecond
-	// unranked is the rank of a peer that nobody has told.
-	unranked = math.MaxInt64
+	// hubCount is the number of peers that a process selects as its hubs: the
+	// reachable ones of lowest rank. All processes select nearly the same hubs, so
+	// gossip sent to one of them reaches the whole fleet. If a third of the fleet
+	// fails, all hubs are lost in one case in 5,000.
+	hubCount = 8
+	// maxUnrankedHubs is the number of selected peers of unknown rank: as many as
+	// there are addresses in the settings, until these advertise the others.
+	maxUnrankedHubs = 3
+	// hubTrialPeriod is how long a newly selected peer that is not yet heard counts
+	// as a hub: the time for one connection attempt and the first gossip.
+	hubTrialPeriod = dialTimeout + 50*time.Millisecond
+	unknownRank    = math.MaxInt64
 )
 
-// order compares by rank. A process that does not know its own rank yet goes by
-// what others told of it.
-func (p *peer) order(other *peer) int {
-	return cmp.Or(cmp.Compare(p.knownRank(), other.knownRank()), cmp.Compare(p.address, other.address))
+// compareRank orders peers by effective rank, then by address.
+func (p *peer) compareRank(other *peer) int {
+	return cmp.Or(cmp.Compare(p.effectiveRank(), other.effectiveRank()), cmp.Compare(p.address, other.address))
 }
 
-func (p *peer) knownRank() int64 {
-	if p.Node != "" && p.Rank != unranked {
+// effectiveRank returns the rank that the peer sent, or the one advertised by others
+// while the peer does not know its own rank.
+func (p *peer) effectiveRank() int64 {
+	if p.Node != "" && p.Rank != unknownRank {
 		return p.Rank
 	}
-	return p.listed
+	return p.advertisedRank
 }
 
-// usable tells whether the peer hears this process, is heard, and goes on.
-func (p *peer) usable(now time.Time, limit time.Duration) bool {
-	return p.Node != "" && now.Sub(p.Heard) < limit && p.HearsUs && p.Ready && !p.Leaving && !p.gone
+// usable reports whether gossip flows in both directions and the peer is ready and
+// not about to stop.
+func (p *peer) usable(now time.Time, timeout time.Duration) bool {
+	return p.Node != "" && now.Sub(p.LastHeard) < timeout && p.HearsUs && p.Ready && !p.Leaving && !p.exited
 }
 
-// needed tells whether the peer is to be told gossip.
-func (p *peer) needed(now time.Time, limit time.Duration) bool {
-	return p.wanted || (p.wantsUs && now.Sub(p.Heard) < limit)
+// exchangesGossip reports whether gossip is sent to the peer.
+func (p *peer) exchangesGossip(now time.Time, timeout time.Duration) bool {
+	return p.selected || (p.selectedUs && now.Sub(p.LastHeard) < timeout)
 }
 
-// choose decides with which peers the process exchanges gossip.
-func (m *Mesh) choose() {
-	n := m.news()
-	now, limit := n.at, n.limit
+// selectHubs selects the hubs and starts or stops senders accordingly.
+func (m *Mesh) selectHubs() {
+	state := m.currentGossip()
+	now, timeout := state.now, state.livenessTimeout
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.group == nil || m.closed {
 		return
 	}
-	m.wantLocked(now, limit)
+	m.selectHubsLocked(now, timeout)
 	for _, p := range m.peers {
-		if p.cancel != nil && !p.needed(now, limit) {
-			m.tellLocked(p, n)
+		if p.cancel != nil && !p.exchangesGossip(now, timeout) {
+			m.enqueueGossipLocked(p, state)
 		}
-		m.linkLocked(now, p, limit)
+		m.updateSenderLocked(now, p, timeout)
 	}
 }
 
-// wantLocked goes through the peers by their rank until enough of them are heard.
-func (m *Mesh) wantLocked(now time.Time, limit time.Duration) {
+// selectHubsLocked selects peers in order of rank until enough of them are usable or
+// in their trial period. This process is a hub if it ranks among the first.
+func (m *Mesh) selectHubsLocked(now time.Time, timeout time.Duration) {
 	peers := make([]*peer, 0, len(m.peers))
 	for _, p := range m.peers {
 		peers = append(peers, p)
 	}
-	slices.SortFunc(peers, (*peer).order)
-	counted, unknown, before := 0, 0, 0
-	m.unheard = 0
+	slices.SortFunc(peers, (*peer).compareRank)
+	usableOrTrial, unranked, ahead := 0, 0, 0
+	m.unusableHubs = 0
 	for _, p := range peers {
-		wanted := counted < hubs
-		if p.knownRank() == unranked {
-			unknown++
-			wanted = wanted && unknown <= unrankedMost
+		selected := usableOrTrial < hubCount
+		if p.effectiveRank() == unknownRank {
+			unranked++
+			selected = selected && unranked <= maxUnrankedHubs
 		}
-		if wanted && !p.wanted {
-			p.wantedSince = now
+		if selected && !p.selected {
+			p.selectedSince = now
 		}
-		p.wanted = wanted
-		usable := p.usable(now, limit)
-		if wanted && !usable {
-			m.unheard++
+		p.selected = selected
+		usable := p.usable(now, timeout)
+		if selected && !usable {
+			m.unusableHubs++
 		}
-		if usable || now.Sub(p.wantedSince) < trialFor {
-			counted++
+		if usable || now.Sub(p.selectedSince) < hubTrialPeriod {
+			usableOrTrial++
 		}
-		if usable && m.ranksBehind(p) {
-			before++
+		if usable && m.ranksAfter(p) {
+			ahead++
 		}
 	}
-	if hub := before < hubs; hub != m.hub {
+	if hub := ahead < hubCount; hub != m.hub {
 		m.hub, m.hubSince = hub, now
 	}
 }
 
-// ranksBehind tells whether this process comes after the peer in rank.
-func (m *Mesh) ranksBehind(p *peer) bool {
-	return cmp.Or(cmp.Compare(p.knownRank(), m.rank), cmp.Compare(p.address, m.address)) < 0
+// ranksAfter reports whether this process ranks after the peer.
+func (m *Mesh) ranksAfter(p *peer) bool {
+	return cmp.Or(cmp.Compare(p.effectiveRank(), m.rank), cmp.Compare(p.address, m.address)) < 0
 }
 
-// linkLocked begins or ends the sending to a peer.
-func (m *Mesh) linkLocked(now time.Time, p *peer, limit time.Duration) {
-	needed := p.needed(now, limit)
+// updateSenderLocked starts or stops the sender of a peer as needed.
+func (m *Mesh) updateSenderLocked(now time.Time, p *peer, timeout time.Duration) {
+	needed := p.exchangesGossip(now, timeout)
 	switch {
 	case needed && p.cancel == nil:
-		m.startLocked(p)
+		m.startSenderLocked(p)
 	case !needed && p.cancel != nil:
-		// The last gossip told the peer that it is not wanted.
-		time.AfterFunc(lastWord, p.cancel)
+		// The last gossip message tells the peer that it is no longer a hub of
+		// this process; it is given time to be sent.
+		time.AfterFunc(finalGossipDelay, p.cancel)
 		p.cancel = nil
 	}
 }
 
-// Hub tells whether the other processes exchange gossip with this one, so that it
-// hears all that live.
+// Hub reports whether this process is a hub: all others exchange gossip with it, so
+// it hears every process that is alive.
 func (m *Mesh) Hub() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hub
 }
 
-// Reach returns how many processes this one hears, itself included, and how many
-// it should. One that is no hub, has just become one or has just started hears few
-// of those that live; it is taken to hear all.
+// Reach returns the number of processes that this one hears, itself included, and the
+// number that it should hear. A process that is not a hub, has just become one or has
+// just started hears few of those that are alive; it is assumed to hear all of them.
 func (m *Mesh) Reach(now time.Time) (heard, expected int) {
-	limit := m.aliveFor()
+	timeout := m.livenessTimeout()
 	m.mu.Lock()
-	settled := m.hub && now.Sub(m.hubSince) > limit
+	settled := m.hub && now.Sub(m.hubSince) > timeout
 	m.mu.Unlock()
 	if !settled {
 		return 1, 1
 	}
-	return len(m.Alive(now)) + 1, m.Expected() + 1
+	return len(m.Alive(now)) + 1, m.ActivePeerCount() + 1
 }
 
-// Hurry makes the next gossip go out at once, because something changed that all
-// should know.
+// Hurry sends the next gossip without waiting for the interval, after a change that
+// peers should learn of soon.
 func (m *Mesh) Hurry() {
 	select {
-	case m.hurry <- struct{}{}:
+	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// KnowRanked makes a process known of, and its rank.
+// KnowRanked adds the process at the address as a peer and sets its advertised rank.
 func (m *Mesh) KnowRanked(now time.Time, address string, rank int64) {
 	m.Know(now, address)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peers[address]; p != nil && rank > 0 {
-		p.listed = rank
+		p.advertisedRank = rank
 	}
 }
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -1,6 +1,6 @@
-// Package mesh links the gateways with each other. Each one gossips what it is and
-// has seen to a few, the hubs, which tell all others; what it hears, and how long
-// ago, decides which peers live. In a small fleet all are hubs.
+// Package mesh connects the gateways with each other. Each gateway exchanges gossip
+// about its state with a few peers, the hubs, which exchange gossip with all others.
+// A peer is alive while its gossip is recent. In a small fleet every gateway is a hub.
 package mesh
 
 import (
@@ -17,100 +17,102 @@
 )
 
 const (
-	// baseInterval is between two gossips in a fleet of up to baseFleet
-	// processes; it grows with the fleet, so that a process's cost for gossip
-	// grows by less than the fleet.
-	baseInterval = 100 * time.Millisecond
-	baseFleet    = 10
-	// maxInterval bounds it.
-	maxInterval = 400 * time.Millisecond
-	// aliveIntervals is how many gossips a peer may miss and count as living.
-	// Asking a scheduler that is gone costs a request that time at most.
-	aliveIntervals = 4
-	// aliveSlack covers that processes share a processor and wake up late.
-	aliveSlack = 50 * time.Millisecond
-	// relinkAfter is the silence after which the link to a peer is made anew,
-	// because connections may go silent for good while new ones work.
-	relinkAfter = 900 * time.Millisecond
-	// introduceEvery is in which of its gossips a process says who it is, and whom
-	// it knows if that has changed; the first one to a peer does as well.
-	introduceEvery = 10
-	// knownEvery is in which of its gossips a process says whom it knows though
-	// that is as before.
-	knownEvery = 50
-	// hurryApart is the least time between two gossips.
-	hurryApart = 20 * time.Millisecond
-	// forgetAfter is how long the address of a silent peer is tried.
-	forgetAfter = 2 * time.Minute
-	// writeTimeout bounds a write to a peer that does not read.
+	// baseGossipInterval is the gossip interval in a fleet of up to baseFleetSize
+	// processes. The interval grows with the fleet, so that the cost of gossip for
+	// each process grows more slowly than the fleet.
+	baseGossipInterval = 100 * time.Millisecond
+	baseFleetSize      = 10
+	maxGossipInterval  = 400 * time.Millisecond
+	// livenessIntervals is the number of gossip intervals after which a silent peer
+	// is down. A request sent to a failed scheduler is delayed by at most that time.
+	livenessIntervals = 4
+	// livenessSlack allows for late wake-ups of processes that share a processor.
+	livenessSlack = 50 * time.Millisecond
+	// reconnectAfter is the silence after which a new connection to a peer is
+	// opened, because a connection may stop delivering while new ones work.
+	reconnectAfter = 900 * time.Millisecond
+	// identityEvery is the number of gossip messages per one that carries the
+	// sender's identity and, if changed, the list of peers that it hears. The
+	// first message on a stream carries both.
+	identityEvery = 10
+	// heardPeersEvery is the number of gossip messages per one that carries the
+	// list of heard peers even if it has not changed.
+	heardPeersEvery   = 50
+	minGossipInterval = 20 * time.Millisecond
+	// removeAfter is how long a peer is kept that is neither heard nor advertised.
+	removeAfter = 2 * time.Minute
+	// writeTimeout bounds a write to a peer that has stopped reading.
 	writeTimeout = time.Second
-	// readTimeout ends a link on which nothing comes; gossip comes far oftener.
+	// readTimeout closes an idle stream; gossip arrives far more often.
 	readTimeout = 10 * time.Second
-	// dialWithin bounds one attempt to link with a peer, and redialPause is
-	// between two. The first packet to a VM without power is lost and sent again
-	// after a second; an attempt that is begun anew reaches it a third of a
-	// second after its return. Gateways that all come back at once agree on
-	// their scheduler and share their quotas so much sooner.
-	dialWithin  = 250 * time.Millisecond
-	redialPause = 100 * time.Millisecond
-	// redialMost is with how many peers that are not heard the pause begins to grow.
-	redialMost = 16
-	// lastWord is how long the last gossip may take to leave this VM.
-	lastWord = 20 * time.Millisecond
-	// queueLength bounds what waits for one peer. What does not fit is dropped:
-	// gossip is repeated, and asks have their own time-outs.
-	queueLength = 2048
+	// dialTimeout bounds one connection attempt, and baseRedialDelay is the delay
+	// between two. TCP repeats a SYN that a powered-off VM lost only after a
+	// second; a new attempt reaches the VM within a third of a second of its
+	// return. Gateways that all restart at once thus agree on a scheduler and
+	// share their quotas much sooner.
+	dialTimeout     = 250 * time.Millisecond
+	baseRedialDelay = 100 * time.Millisecond
+	// redialBackoffStep is the number of unusable hubs for each of which the redial
+	// delay grows by another baseRedialDelay.
+	redialBackoffStep = 16
+	// finalGossipDelay is the time allowed for the last gossip message to be sent.
+	finalGossipDelay = 20 * time.Millisecond
+	// sendQueueLength bounds the messages queued for one peer. Messages beyond it
+	// are dropped: gossip is repeated, and requests have their own time-outs.
+	sendQueueLength = 2048
 )
 
-// Handler takes what peers send. Its methods must not block.
+// Handler handles messages from peers. Its methods must not block.
 type Handler interface {
-	// Gossip fills what the process tells its peers.
+	// Gossip fills in the state that this process sends to its peers.
 	Gossip(now time.Time, g *wire.Gossip)
-	// Heard takes the gossip of a peer.
+	// Heard handles gossip from a peer.
 	Heard(now time.Time, peer string, g *wire.Gossip)
-	// Receive takes any other message.
+	// Receive handles any other message.
 	Receive(now time.Time, peer string, e *wire.Envelope)
-	// Down tells that a peer's process is gone or was restarted.
+	// Down reports that a peer's process has failed, exited or restarted.
 	Down(now time.Time, peer string)
 }
 
-// Peer is what is known of another gateway.
+// Peer is the state of another gateway.
 type Peer struct {
 	Node    string
 	Address string
-	Run     uint64
-	Rank    int64
-	// Ready peers know a configuration; Leaving ones were told to stop.
+	// Run identifies the peer's process. A restarted process has a later run unless
+	// its clock was set back.
+	Run  uint64
+	Rank int64
+	// Ready peers have a configuration; Leaving ones are shutting down.
 	Ready, Leaving bool
-	Heard          time.Time
-	// HearsUs tells that the peer hears this process.
+	LastHeard      time.Time
+	// HearsUs is set if the peer receives gossip from this process.
 	HearsUs bool
 }
 
 type peer struct {
 	Peer
-	// address never changes, so the sending goroutine needs no lock for it.
+	// address never changes, so the sender goroutine reads it without the lock.
 	address string
 	queue   chan *wire.Envelope
-	// cancel ends the sending; it is nil while nothing is sent to the peer.
-	cancel context.CancelFunc
-	since  time.Time
-	// listed is the rank by the store or by another peer.
-	listed int64
-	// wanted peers are hubs of this process; wantsUs ones have it as theirs.
-	wanted, wantsUs bool
-	wantedSince     time.Time
-	down            bool
-	// gone peers said that their process ends.
-	gone   bool
-	relink time.Time
-	told   int
-	// toldKnown and toldCrashes recognize what the peer was told last of whom this
-	// process knows, and of crashes.
-	toldKnown, toldCrashes uint64
+	// cancel stops the sender goroutine; it is nil if there is none.
+	cancel         context.CancelFunc
+	lastAdvertised time.Time
+	// advertisedRank is the rank reported by the store or by another peer.
+	advertisedRank int64
+	// selected peers are hubs of this process; selectedUs peers use it as a hub.
+	selected, selectedUs bool
+	selectedSince        time.Time
+	down                 bool
+	// exited is set once the peer announced that its process exits.
+	exited        bool
+	lastReconnect time.Time
+	gossipsSent   int
+	// sentHeardSum and sentCrashesSum are checksums of the lists of heard peers and
+	// of crashes that were last sent to the peer.
+	sentHeardSum, sentCrashesSum uint64
 }
 
-// Mesh is one process's links.
+// Mesh holds the connections of one process to its peers.
 type Mesh struct {
 	node, address string
 	run           uint64
@@ -119,46 +121,47 @@
 	logger        *slog.Logger
 	now           func() time.Time
 
-	// telling is held from a decision on a peer until the handler was told of it,
-	// so that it is told in the order of the decisions. It is taken before mu.
-	telling sync.Mutex
+	// notifyMu is held from a change of a peer's state until the handler has been
+	// notified, so that notifications arrive in the order of the changes. It is
+	// locked before mu.
+	notifyMu sync.Mutex
 
 	mu     sync.Mutex
 	peers  map[string]*peer
 	ctx    context.Context
 	group  *errgroup.Group
 	closed bool
-	// gone is told in the last gossip.
-	gone bool
-	// rank is this process's, hub that it is one, since hubSince.
+	// exiting is sent in the last gossip message.
+	exiting bool
+	// rank is this process's rank; hub is set if it is a hub, since hubSince.
 	rank     int64
 	hub      bool
 	hubSince time.Time
-	hurry    chan struct{}
-	// unheard counts the peers that are wanted and not heard.
-	unheard int
+	wake     chan struct{}
+	// unusableHubs is the number of selected peers that are not usable.
+	unusableHubs int
 }
 
-// New returns a mesh for the process; Run starts it. Seeds are addresses of
-// processes that may be up.
+// New returns a mesh for the process; Run starts it.
 func New(node, address string, run uint64, dialer link.Dialer, handler Handler, logger *slog.Logger, now func() time.Time) *Mesh {
 	return &Mesh{
 		node: node, address: address, run: run, handler: handler, logger: logger, now: now,
-		pool: link.NewPool(dialer, nil, link.DialWithin(dialWithin)), peers: make(map[string]*peer), rank: unranked, hub: true, hurry: make(chan struct{}, 1),
+		pool: link.NewPool(dialer, nil, link.DialWithin(dialTimeout)), peers: make(map[string]*peer), rank: unknownRank, hub: true, wake: make(chan struct{}, 1),
 	}
 }
 
-// Run gossips until the context ends. Server must hand its streams to Serve.
+// Run exchanges gossip until the context ends. The caller must pass the streams
+// that peers open to Serve.
 func (m *Mesh) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	m.mu.Lock()
 	m.ctx, m.group = ctx, group
 	m.hubSince = m.now()
-	// Peers become known at any time. This goroutine is the first and the last of
-	// those to which theirs are added.
+	// Peers may be added at any time, and each starts a goroutine in the group.
+	// This goroutine starts before and ends after all of those.
 	group.Go(func() error {
 		defer m.close()
-		return m.gossip(ctx)
+		return m.runGossip(ctx)
 	})
 	m.mu.Unlock()
 	err := group.Wait()
@@ -168,14 +171,14 @@
 	return err
 }
 
-// close lets no more peers become known.
+// close stops the addition of peers.
 func (m *Mesh) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closed = true
 }
 
-// Know makes the process known of, so that it may be linked with.
+// Know adds the process at the address as a peer.
 func (m *Mesh) Know(now time.Time, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,109 +187,109 @@
 	}
 	p := m.peers[address]
 	if p != nil {
-		p.since = now
+		p.lastAdvertised = now
 		return
 	}
-	p = &peer{Peer: Peer{Address: address}, address: address, queue: make(chan *wire.Envelope, queueLength), since: now, listed: unranked}
+	p = &peer{Peer: Peer{Address: address}, address: address, queue: make(chan *wire.Envelope, sendQueueLength), lastAdvertised: now, advertisedRank: unknownRank}
 	m.peers[address] = p
 	m.Hurry()
 }
 
-func (m *Mesh) startLocked(p *peer) {
+func (m *Mesh) startSenderLocked(p *peer) {
 	ctx, cancel := context.WithCancel(m.ctx)
 	p.cancel = cancel
 	m.group.Go(func() error {
-		m.send(ctx, p)
+		m.runSender(ctx, p)
 		return nil
 	})
 }
 
-// send keeps a stream to the peer and writes what is queued for it.
-func (m *Mesh) send(ctx context.Context, p *peer) {
+// runSender keeps a stream to the peer open and sends the queued messages.
+func (m *Mesh) runSender(ctx context.Context, p *peer) {
 	for ctx.Err() == nil {
 		stream, err := m.pool.Open(ctx, p.address)
 		if err != nil {
-			wait.For(ctx, m.redialAfter())
+			wait.For(ctx, m.redialDelay())
 			continue
 		}
-		m.write(ctx, p, stream)
+		m.writeQueued(ctx, p, stream)
 		m.pool.Replace(p.address, stream.Session())
-		// The stream is of no use any more; its end is told by the write error.
+		// The stream has already failed; the write error was logged.
 		_ = stream.Close()
 	}
 }
 
-// redialAfter is the pause between two attempts to link with a peer. With many that
-// are not reached it grows, so that the attempts of all together do not.
-func (m *Mesh) redialAfter() time.Duration {
+// redialDelay returns the delay between two connection attempts. It grows with the
+// number of unusable hubs, so that the total rate of attempts does not.
+func (m *Mesh) redialDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return redialPause * time.Duration(1+m.unheard/redialMost)
+	return baseRedialDelay * time.Duration(1+m.unusableHubs/redialBackoffStep)
 }
 
-func (m *Mesh) write(ctx context.Context, p *peer, stream *link.Stream) {
-	m.introduce(p)
-	m.tellOne(p)
+func (m *Mesh) writeQueued(ctx context.Context, p *peer, stream *link.Stream) {
+	m.resetGossip(p)
+	m.gossipToOne(p)
 	batch := make([]*wire.Envelope, 0, 64)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-p.queue:
-			if e == nil {
+		case envelope := <-p.queue:
+			if envelope == nil {
 				return
 			}
-			batch = append(batch[:0], e)
+			batch = append(batch[:0], envelope)
 		}
 		for len(batch) < cap(batch) && len(p.queue) > 0 {
-			e := <-p.queue
-			if e == nil {
+			envelope := <-p.queue
+			if envelope == nil {
 				return
 			}
-			batch = append(batch, e)
+			batch = append(batch, envelope)
 		}
 		if err := stream.Send(m.now().Add(writeTimeout), batch...); err != nil {
-			m.logger.Info("link lost", "peer", p.address, "err", err)
+			m.logger.Info("connection to peer lost", "peer", p.address, "err", err)
 			return
 		}
 	}
 }
 
-// introduce makes the next gossip to the peer say who this process is, since a
-// new stream does not know.
-func (m *Mesh) introduce(p *peer) {
+// resetGossip makes the next gossip message to the peer carry this process's
+// identity, which a new stream must begin with.
+func (m *Mesh) resetGossip(p *peer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	drain(p.queue)
-	p.told = 0
+	p.gossipsSent = 0
 }
 
-// Send queues a message for the node. It tells whether the node is linked with and
-// its queue had room.
-func (m *Mesh) Send(node string, e *wire.Envelope) bool {
+// Send queues a message for the node. It reports whether messages are being sent to
+// the node and its queue had room.
+func (m *Mesh) Send(node string, envelope *wire.Envelope) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
 		if p.Node == node {
-			return p.cancel != nil && offer(p, e)
+			return p.cancel != nil && enqueue(p, envelope)
 		}
 	}
 	return false
 }
 
-func offer(p *peer, e *wire.Envelope) bool {
+func enqueue(p *peer, envelope *wire.Envelope) bool {
 	select {
-	case p.queue <- e:
+	case p.queue <- envelope:
 		return true
 	default:
 		return false
 	}
 }
 
-// Serve takes one stream that a peer opened. The first message on it says who
-// the peer is.
+// Serve handles one stream that a peer opened. The first message on it identifies
+// the peer.
 func (m *Mesh) Serve(ctx context.Context, stream *link.Stream) {
-	// The peer opens another stream when it needs one.
+	// The peer opens a new stream if it needs one, so the error does not matter.
 	defer func() { _ = stream.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
 	defer stop()
@@ -298,9 +301,9 @@
 		}
 		now := m.now()
 		if g := envelope.GetGossip(); g != nil {
-			from.introduce(g)
+			from.update(g)
 			if from.node != "" {
-				m.heard(now, from, g)
+				m.handleGossip(now, from, g)
 			}
 			continue
 		}
@@ -310,7 +313,7 @@
 	}
 }
 
-// Peers returns what is known of the other gateways.
+// Peers returns the state of the other gateways.
 func (m *Mesh) Peers() []Peer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -323,49 +326,49 @@
 	return peers
 }
 
-// Known returns how many other gateways there are, heard or not.
+// Known returns the number of other gateways, heard or not.
 func (m *Mesh) Known() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.peers)
 }
 
-// Expected returns how many other gateways may be at work, heard or not: all
-// that are known but those that said that they end.
-func (m *Mesh) Expected() int {
+// ActivePeerCount returns the number of other gateways, heard or not, that have not
+// announced their exit.
+func (m *Mesh) ActivePeerCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	count := 0
 	for _, p := range m.peers {
-		if !p.gone {
+		if !p.exited {
 			count++
 		}
 	}
 	return count
 }
 
-// Alive returns the peers that were heard of late.
+// Alive returns the peers that were heard within the liveness timeout.
 func (m *Mesh) Alive(now time.Time) []Peer {
 	var alive []Peer
-	limit := m.aliveFor()
+	timeout := m.livenessTimeout()
 	for _, p := range m.Peers() {
-		if now.Sub(p.Heard) < limit {
+		if now.Sub(p.LastHeard) < timeout {
 			alive = append(alive, p)
 		}
 	}
 	return alive
 }
 
-func (m *Mesh) gossip(ctx context.Context) error {
+func (m *Mesh) runGossip(ctx context.Context) error {
 	for ctx.Err() == nil {
-		m.check(m.now())
-		m.choose()
-		m.tell()
-		wait.For(ctx, hurryApart)
-		timer := time.NewTimer(m.interval() - hurryApart)
+		m.checkSilent(m.now())
+		m.selectHubs()
+		m.gossipToAll()
+		wait.For(ctx, minGossipInterval)
+		timer := time.NewTimer(m.gossipInterval() - minGossipInterval)
 		select {
 		case <-ctx.Done():
-		case <-m.hurry:
+		case <-m.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -373,15 +376,17 @@
 	return nil
 }
 
-func (m *Mesh) interval() time.Duration {
+func (m *Mesh) gossipInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	scaled := baseInterval * time.Duration(len(m.peers)+1) / baseFleet
-	return min(max(scaled, baseInterval), maxInterval)
+	scaled := baseGossipInterval * time.Duration(len(m.peers)+1) / baseFleetSize
+	return min(max(scaled, baseGossipInterval), maxGossipInterval)
 }
 
-// aliveFor is how long a peer counts as living after its last gossip.
-func (m *Mesh) aliveFor() time.Duration { return aliveIntervals*m.interval() + aliveSlack }
+// livenessTimeout returns how long a peer is alive after its last gossip.
+func (m *Mesh) livenessTimeout() time.Duration {
+	return livenessIntervals*m.gossipInterval() + livenessSlack
+}
 
 func drain(queue chan *wire.Envelope) {
 	for {
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -16,58 +16,58 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/network"
 )
 
-// handler tells a fixed gossip and notes what it hears.
-type handler struct {
-	told *wire.Gossip
+// recordingHandler sends fixed gossip and records what it receives.
+type recordingHandler struct {
+	sent *wire.Gossip
 
-	mu    sync.Mutex
-	heard map[string]*wire.Gossip
-	at    map[string]time.Time
-	// count is how many gossips came.
+	mu            sync.Mutex
+	received      map[string]*wire.Gossip
+	firstReceived map[string]time.Time
+	// count is the number of gossip messages received.
 	count int
 }
 
-func (h *handler) Gossip(_ time.Time, g *wire.Gossip) {
+func (h *recordingHandler) Gossip(_ time.Time, g *wire.Gossip) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	run := g.Run
 	*g = wire.Gossip{
-		Run: run, Rank: h.told.Rank, Ready: h.told.Ready, ConfigVersion: h.told.ConfigVersion,
-		RosterRevision: h.told.RosterRevision, StoreAnswers: h.told.StoreAnswers, ChangeRevision: h.told.ChangeRevision,
+		Run: run, Rank: h.sent.Rank, Ready: h.sent.Ready, ConfigVersion: h.sent.ConfigVersion,
+		RosterRevision: h.sent.RosterRevision, StoreAnswers: h.sent.StoreAnswers, ChangeRevision: h.sent.ChangeRevision,
 	}
 }
 
-func (h *handler) Heard(now time.Time, peer string, g *wire.Gossip) {
+func (h *recordingHandler) Heard(now time.Time, peer string, g *wire.Gossip) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.heard[peer] == nil {
-		h.at[peer] = now
+	if h.received[peer] == nil {
+		h.firstReceived[peer] = now
 	}
-	h.heard[peer] = g
+	h.received[peer] = g
 	h.count++
 }
 
-func (h *handler) Receive(time.Time, string, *wire.Envelope) {}
-func (h *handler) Down(time.Time, string)                    {}
+func (h *recordingHandler) Receive(time.Time, string, *wire.Envelope) {}
+func (h *recordingHandler) Down(time.Time, string)                    {}
 
-func (h *handler) from(peer string) (*wire.Gossip, time.Time) {
+func (h *recordingHandler) gossipFrom(peer string) (*wire.Gossip, time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.heard[peer], h.at[peer]
+	return h.received[peer], h.firstReceived[peer]
 }
 
-// process is one gateway's mesh on a network in memory.
+// process is one gateway's mesh on an in-memory network.
 type process struct {
 	t       *testing.T
-	handler *handler
+	handler *recordingHandler
 	mesh    *mesh.Mesh
 	cancel  context.CancelFunc
 	done    chan error
 	server  *link.Server
 }
 
-func start(t *testing.T, n *network.Network, name string, run uint64, told *wire.Gossip, peers ...string) *process {
-	p := &process{t: t, handler: &handler{told: told, heard: make(map[string]*wire.Gossip), at: make(map[string]time.Time)}, done: make(chan error, 1)}
+func startProcess(t *testing.T, n *network.Network, name string, run uint64, gossip *wire.Gossip, peers ...string) *process {
+	p := &process{t: t, handler: &recordingHandler{sent: gossip, received: make(map[string]*wire.Gossip), firstReceived: make(map[string]time.Time)}, done: make(chan error, 1)}
 	listener, err := n.Listen(name)
 	require.NoError(t, err)
 	m := mesh.New(name, name, run, n, p.handler, slog.New(slog.DiscardHandler), time.Now)
@@ -88,46 +88,46 @@
 	require.NoError(p.t, p.server.Close())
 }
 
-// All VMs lose their power and come back within half a second of each other. The
-// first one up tries to reach the second while that one is still away; its first
-// packet is lost and sent again after a second. Until then the second scheduled
-// for itself and kept to its small part of each quota.
-func TestPeerThatComesBackIsLinkedAtOnce(t *testing.T) {
+// Guards against a late connection after a power failure of all VMs, which return
+// within half a second of each other. The first one up dials the second before that one
+// is up; its SYN is lost and retransmitted after a second. Until then the second acted
+// as its own scheduler and used only its small share of each quota.
+func TestRestartedPeerIsReconnectedPromptly(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		n := network.New()
 		n.Vanish("b:1")
-		a := start(t, n, "a:1", 1, &wire.Gossip{Ready: true}, "b:1")
+		a := startProcess(t, n, "a:1", 1, &wire.Gossip{Ready: true}, "b:1")
 		bubble.Pass(300 * time.Millisecond)
 		n.Return("b:1")
-		b := start(t, n, "b:1", 2, &wire.Gossip{Ready: true}, "a:1")
-		up := time.Now()
+		b := startProcess(t, n, "b:1", 2, &wire.Gossip{Ready: true}, "a:1")
+		started := time.Now()
 		bubble.Pass(2 * time.Second)
-		_, at := b.handler.from("a:1")
+		_, at := b.handler.gossipFrom("a:1")
 		require.False(t, at.IsZero())
-		require.Less(t, at.Sub(up), 500*time.Millisecond)
+		require.Less(t, at.Sub(started), 500*time.Millisecond)
 		a.stop()
 		b.stop()
 	})
 }
 
-// A gateway saw an upstream leave and the others went on sending to it for a
-// second: the revision by which they learn of the change was filled in and never
-// sent. All that a handler tells must reach the peers.
-func TestAllThatIsToldReachesThePeers(t *testing.T) {
+// Guards against gossip fields that the handler fills in and the mesh does not send.
+// Without the change revision, the other gateways sent requests for another second to an
+// upstream that one gateway had seen leave.
+func TestAllGossipFieldsReachPeers(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		n := network.New()
-		told := &wire.Gossip{Rank: 3, Ready: true, ConfigVersion: 5, RosterRevision: 7, StoreAnswers: true, ChangeRevision: 11}
-		a := start(t, n, "a:1", 1, told, "b:1")
-		b := start(t, n, "b:1", 2, &wire.Gossip{}, "a:1")
+		sent := &wire.Gossip{Rank: 3, Ready: true, ConfigVersion: 5, RosterRevision: 7, StoreAnswers: true, ChangeRevision: 11}
+		a := startProcess(t, n, "a:1", 1, sent, "b:1")
+		b := startProcess(t, n, "b:1", 2, &wire.Gossip{}, "a:1")
 		bubble.Pass(time.Second)
-		got, _ := b.handler.from("a:1")
+		got, _ := b.handler.gossipFrom("a:1")
 		require.NotNil(t, got)
-		require.Equal(t, told.Rank, got.Rank)
-		require.Equal(t, told.Ready, got.Ready)
-		require.Equal(t, told.ConfigVersion, got.ConfigVersion)
-		require.Equal(t, told.RosterRevision, got.RosterRevision)
-		require.Equal(t, told.StoreAnswers, got.StoreAnswers)
-		require.Equal(t, told.ChangeRevision, got.ChangeRevision)
+		require.Equal(t, sent.Rank, got.Rank)
+		require.Equal(t, sent.Ready, got.Ready)
+		require.Equal(t, sent.ConfigVersion, got.ConfigVersion)
+		require.Equal(t, sent.RosterRevision, got.RosterRevision)
+		require.Equal(t, sent.StoreAnswers, got.StoreAnswers)
+		require.Equal(t, sent.ChangeRevision, got.ChangeRevision)
 		a.stop()
 		b.stop()
 	})
--- a/internal/fleet/mesh/order_test.go
+++ b/internal/fleet/mesh/order_test.go
@@ -16,76 +16,75 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/network"
 )
 
-// watcher notes how often its mesh tells it that a peer is gone, and how often
-// that peer had been heard again by then.
-type watcher struct {
+// downCounter counts how often its mesh reports a peer down, and how many peers were
+// alive at these moments.
+type downCounter struct {
 	mesh *mesh.Mesh
 
-	mu          sync.Mutex
-	down, alive int
+	mu                  sync.Mutex
+	down, aliveWhenDown int
 }
 
-func (w *watcher) Gossip(_ time.Time, g *wire.Gossip)        { g.Ready = true }
-func (w *watcher) Heard(time.Time, string, *wire.Gossip)     {}
-func (w *watcher) Receive(time.Time, string, *wire.Envelope) {}
+func (c *downCounter) Gossip(_ time.Time, g *wire.Gossip)        { g.Ready = true }
+func (c *downCounter) Heard(time.Time, string, *wire.Gossip)     {}
+func (c *downCounter) Receive(time.Time, string, *wire.Envelope) {}
 
-func (w *watcher) Down(time.Time, string) {
-	alive := len(w.mesh.Alive(time.Now()))
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.down++
-	w.alive += alive
+func (c *downCounter) Down(time.Time, string) {
+	alive := len(c.mesh.Alive(time.Now()))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.down++
+	c.aliveWhenDown += alive
 }
 
-func (w *watcher) told() (down, alive int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.down, w.alive
+func (c *downCounter) counts() (down, alive int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.down, c.aliveWhenDown
 }
 
-// slowLog is a log whose warnings take a while to write, as with a full pipe.
-type slowLog struct{ slog.Handler }
+// slowWarnings is a log handler that blocks on warnings, as with a full pipe.
+type slowWarnings struct{ slog.Handler }
 
-// slowLogBy is how long.
-const slowLogBy = 150 * time.Millisecond
+const slowWarningDelay = 150 * time.Millisecond
 
-func (slowLog) Enabled(context.Context, slog.Level) bool { return true }
+func (slowWarnings) Enabled(context.Context, slog.Level) bool { return true }
 
-func (slowLog) Handle(_ context.Context, r slog.Record) error {
+func (slowWarnings) Handle(_ context.Context, r slog.Record) error {
 	if r.Level == slog.LevelWarn {
-		bubble.Pass(slowLogBy)
+		bubble.Pass(slowWarningDelay)
 	}
 	return nil
 }
 
-// Guards against a peer that is told to be gone after it was heard again: what
-// was asked of it was taken to be lost, and its places were given away.
-func TestPeerThatIsHeardAgainIsNotToldToBeGone(t *testing.T) {
+// Guards against a peer that is reported down after it was heard again: its pending
+// requests were considered lost, and its places were given to others.
+func TestDownIsNotReportedForPeerHeardAgain(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		n, w := network.New(), &watcher{}
+		n, counter := network.New(), &downCounter{}
 		listener, err := n.Listen("a:1")
 		require.NoError(t, err)
-		w.mesh = mesh.New("a:1", "a:1", 1, n, w, slog.New(slowLog{slog.DiscardHandler}), time.Now)
-		server := link.Serve(listener, w.mesh.Serve)
-		w.mesh.Know(time.Now(), "b:1")
+		counter.mesh = mesh.New("a:1", "a:1", 1, n, counter, slog.New(slowWarnings{slog.DiscardHandler}), time.Now)
+		server := link.Serve(listener, counter.mesh.Serve)
+		counter.mesh.Know(time.Now(), "b:1")
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
-		go func() { done <- w.mesh.Run(ctx) }()
-		b := start(t, n, "b:1", 2, &wire.Gossip{Ready: true}, "a:1")
+		go func() { done <- counter.mesh.Run(ctx) }()
+		b := startProcess(t, n, "b:1", 2, &wire.Gossip{Ready: true}, "a:1")
 		bubble.Pass(time.Second)
 
-		// What b tells is held back until about when its silence is noticed, and
-		// may come while that is written to the log.
-		for held := 400 * time.Millisecond; held <= 700*time.Millisecond; held += 50 * time.Millisecond {
-			n.Stall("a:1", held)
+		// Messages from b are delayed until about the moment at which its silence
+		// is detected, so they may arrive while the warning is being logged.
+		for delay := 400 * time.Millisecond; delay <= 700*time.Millisecond; delay += 50 * time.Millisecond {
+			n.Stall("a:1", delay)
 			bubble.Pass(2 * time.Second)
 		}
 		cancel()
 		require.NoError(t, <-done)
 		require.NoError(t, server.Close())
 		b.stop()
-		down, alive := w.told()
+		down, alive := counter.counts()
 		require.Positive(t, down)
-		require.Zero(t, alive, "of %d times that b was told to be gone", down)
+		require.Zero(t, alive, "b was alive on some of the %d times that it was reported down", down)
 	})
 }
--- a/internal/fleet/mesh/tell.go
+++ b/internal/fleet/mesh/tell.go
@@ -11,99 +11,98 @@
 	"github.com/persimmonridge/persimmonridge/internal/fleet/wire"
 )
 
-// news is what peers are told at one moment. Lists are told to a peer when they
-// differ from what it was told last, which the sums tell.
-type news struct {
-	at                   time.Time
+// gossipState is the state sent to peers at one moment. A list is sent to a peer only
+// if its checksum differs from that of the list sent last.
+type gossipState struct {
+	now                  time.Time
 	gossip               *wire.Gossip
-	known                []*wire.Heard
-	knownSum, crashesSum uint64
-	// limit is how long a peer counts as heard.
-	limit time.Duration
+	heard                []*wire.Heard
+	heardSum, crashesSum uint64
+	livenessTimeout      time.Duration
 }
 
-func (m *Mesh) news() news {
+func (m *Mesh) currentGossip() gossipState {
 	now := m.now()
-	n := news{at: now, gossip: &wire.Gossip{Run: m.run}, known: m.known(now), limit: m.aliveFor()}
-	m.handler.Gossip(now, n.gossip)
-	known, crashes := xxhash.New(), xxhash.New()
-	for _, h := range n.known {
-		_, _ = known.WriteString(h.Address) // a digest's Write never fails
-		_, _ = known.Write([]byte{0})
+	state := gossipState{now: now, gossip: &wire.Gossip{Run: m.run}, heard: m.heardPeers(now), livenessTimeout: m.livenessTimeout()}
+	m.handler.Gossip(now, state.gossip)
+	heardDigest, crashesDigest := xxhash.New(), xxhash.New()
+	for _, heard := range state.heard {
+		_, _ = heardDigest.WriteString(heard.Address) // a digest's Write never fails
+		_, _ = heardDigest.Write([]byte{0})
 	}
-	for _, c := range n.gossip.Crashes {
-		_, _ = crashes.Write(binary.LittleEndian.AppendUint64(nil, c.Fingerprint))
-		_, _ = crashes.WriteString(c.Upstream)
+	for _, crash := range state.gossip.Crashes {
+		_, _ = crashesDigest.Write(binary.LittleEndian.AppendUint64(nil, crash.Fingerprint))
+		_, _ = crashesDigest.WriteString(crash.Upstream)
 	}
-	n.knownSum, n.crashesSum = known.Sum64(), crashes.Sum64()
-	return n
+	state.heardSum, state.crashesSum = heardDigest.Sum64(), crashesDigest.Sum64()
+	return state
 }
 
-// known returns whom this process hears.
-func (m *Mesh) known(now time.Time) []*wire.Heard {
-	var known []*wire.Heard
+// heardPeers returns the peers that are alive, in order of address.
+func (m *Mesh) heardPeers(now time.Time) []*wire.Heard {
+	var heard []*wire.Heard
 	for _, p := range m.Alive(now) {
-		known = append(known, &wire.Heard{Address: p.Address, Rank: p.Rank})
+		heard = append(heard, &wire.Heard{Address: p.Address, Rank: p.Rank})
 	}
-	slices.SortFunc(known, func(x, y *wire.Heard) int { return cmp.Compare(x.Address, y.Address) })
-	return known
+	slices.SortFunc(heard, func(x, y *wire.Heard) int { return cmp.Compare(x.Address, y.Address) })
+	return heard
 }
 
-// tell queues one gossip for every peer that is linked with.
-func (m *Mesh) tell() {
-	n := m.news()
+// gossipToAll queues a gossip message for every peer that has a sender.
+func (m *Mesh) gossipToAll() {
+	state := m.currentGossip()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.rank = n.gossip.Rank
+	m.rank = state.gossip.Rank
 	for _, p := range m.peers {
-		m.tellLocked(p, n)
+		m.enqueueGossipLocked(p, state)
 	}
 }
 
-// tellOne queues a gossip for one peer out of turn, because one of the two does
-// not know the other's process yet.
-func (m *Mesh) tellOne(p *peer) {
-	n := m.news()
+// gossipToOne queues a gossip message for one peer without waiting for the interval,
+// because one of the two does not know the other's process yet.
+func (m *Mesh) gossipToOne(p *peer) {
+	state := m.currentGossip()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.tellLocked(p, n)
+	m.enqueueGossipLocked(p, state)
 }
 
-func (m *Mesh) tellLocked(p *peer, n news) {
-	// A peer that does not take its messages gets no more gossip until it does;
-	// a full queue of it would be old when it is read.
-	if p.cancel == nil || len(p.queue) >= queueLength/2 {
+func (m *Mesh) enqueueGossipLocked(p *peer, state gossipState) {
+	// A peer with a backlog gets no more gossip until it catches up, as queued
+	// gossip would be stale when it is read.
+	if p.cancel == nil || len(p.queue) >= sendQueueLength/2 {
 		return
 	}
-	g := &wire.Gossip{
-		Run: n.gossip.Run, Rank: n.gossip.Rank, Ready: n.gossip.Ready, Leaving: n.gossip.Leaving,
-		ConfigVersion: n.gossip.ConfigVersion, RosterRevision: n.gossip.RosterRevision,
-		StoreAnswers: n.gossip.StoreAnswers, ChangeRevision: n.gossip.ChangeRevision,
-		HearsYou: p.Node != "" && n.at.Sub(p.Heard) < n.limit, WantsYou: p.wanted, Gone: m.gone,
+	gossip := &wire.Gossip{
+		Run: state.gossip.Run, Rank: state.gossip.Rank, Ready: state.gossip.Ready, Leaving: state.gossip.Leaving,
+		ConfigVersion: state.gossip.ConfigVersion, RosterRevision: state.gossip.RosterRevision,
+		StoreAnswers: state.gossip.StoreAnswers, ChangeRevision: state.gossip.ChangeRevision,
+		HearsYou: p.Node != "" && state.now.Sub(p.LastHeard) < state.livenessTimeout, WantsYou: p.selected, Gone: m.exiting,
 	}
-	if p.told%introduceEvery == 0 {
-		g.Node, g.Address = m.node, m.address
-		if p.told%knownEvery == 0 || n.knownSum != p.toldKnown {
-			g.Known, p.toldKnown = n.known, n.knownSum
+	if p.gossipsSent%identityEvery == 0 {
+		gossip.Node, gossip.Address = m.node, m.address
+		if p.gossipsSent%heardPeersEvery == 0 || state.heardSum != p.sentHeardSum {
+			gossip.Known, p.sentHeardSum = state.heard, state.heardSum
 		}
 	}
-	if p.told == 0 || n.crashesSum != p.toldCrashes {
-		g.Crashes, p.toldCrashes = n.gossip.Crashes, n.crashesSum
+	if p.gossipsSent == 0 || state.crashesSum != p.sentCrashesSum {
+		gossip.Crashes, p.sentCrashesSum = state.gossip.Crashes, state.crashesSum
 	}
-	p.told++
-	offer(p, &wire.Envelope{Body: &wire.Envelope_Gossip{Gossip: g}})
+	p.gossipsSent++
+	enqueue(p, &wire.Envelope{Body: &wire.Envelope_Gossip{Gossip: gossip}})
 }
 
-// Farewell tells all peers at once that this process was told to stop.
-func (m *Mesh) Farewell() { m.tell() }
+// Farewell tells all peers without delay that this process is shutting down.
+func (m *Mesh) Farewell() { m.gossipToAll() }
 
-// Gone tells all peers that the process ends now, and gives the word time to
-// leave. Peers that only noticed its silence would ask it for places, and wait,
-// for half a second more.
+// Gone tells all peers that the process exits now, and waits for the message to be
+// sent. Peers that had to detect its silence would send it place requests, and wait
+// for them, for another half second.
 func (m *Mesh) Gone() {
 	m.mu.Lock()
-	m.gone = true
+	m.exiting = true
 	m.mu.Unlock()
-	m.tell()
-	time.Sleep(lastWord)
+	m.gossipToAll()
+	time.Sleep(finalGossipDelay)
 }
