--- a/internal/fleet/link/pool.go
+++ b/internal/fleet/link/pool.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// dialTimeout bounds a connection attempt inside one region.
-	dialTimeout = time.Second
-	// keepAlive is the interval of yamux's own pings from the side that dialed,
-	// kept long because the requests themselves are the evidence; a ping only
-	// keeps an idle link known to whatever stands between the two ends. An
-	// entry of the design size has 600 links, and a ping each half minute would
-	// take a third of its control bytes.
-	keepAlive = 4 * time.Minute
-	// reapAfter is the interval of the accepting side's pings, which end the
-	// sessions of processes that are gone without a word.
-	reapAfter = 10 * time.Minute
-	// retireAfter is how long a replaced session stays for its other streams.
-	retireAfter = 30 * time.Second
-	// streamWindow bounds what one slow reader can hold on a session.
-	streamWindow = 256 << 10
+	// defaultDialTimeout bounds a connection attempt within one region.
+	defaultDialTimeout = time.Second
+	// clientPingInterval is the interval of yamux keep-alive pings from the side
+	// that dialed. It is long because requests themselves show whether a session
+	// works; the pings only keep an idle connection in the tables of middleboxes.
+	// An entry at design size has 600 sessions, and a ping every 30 s on each would
+	// take a third of its control traffic.
+	clientPingInterval = 4 * time.Minute
+	// serverPingInterval is the interval of pings from the accepting side, which
+	// end the sessions of processes that failed without closing them.
+	serverPingInterval = 10 * time.Minute
+	// retireTimeout is how long a replaced session stays open for its other streams.
+	retireTimeout = 30 * time.Second
+	// maxStreamWindow bounds the bytes buffered on a session for one slow reader.
+	maxStreamWindow = 256 << 10
 )
 
 // Dialer opens a connection to an address.
@@ -36,23 +36,23 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Pool holds one session for each address and replaces those gone silent.
+// Pool holds one session for each address. Callers replace sessions that are silent.
 type Pool struct {
 	dialer Dialer
-	opened func(address string, s *Session)
-	// dialWithin bounds one connection attempt.
-	dialWithin time.Duration
+	onOpen func(address string, s *Session)
+	// dialTimeout bounds one connection attempt.
+	dialTimeout time.Duration
 
-	next     atomic.Uint64
-	mu       sync.Mutex
-	sessions map[string]*Session
-	dialing  map[string]*dialAttempt
-	closed   bool
-	closing  chan struct{}
-	wg       sync.WaitGroup
+	lastNumber atomic.Uint64
+	mu         sync.Mutex
+	sessions   map[string]*Session
+	dialing    map[string]*dialAttempt
+	closed     bool
+	closing    chan struct{}
+	wg         sync.WaitGroup
 }
 
-// dialAttempt lets all who want the same address wait for one dial.
+// dialAttempt is a connection attempt shared by all callers for the same address.
 type dialAttempt struct {
 	done    chan struct{}
 	session *Session
@@ -69,7 +69,7 @@
 // Address returns the peer's address.
 func (s *Session) Address() string { return s.address }
 
-// Number identifies the session among all of its pool.
+// Number identifies the session among all sessions of its pool.
 func (s *Session) Number() uint64 { return s.number }
 
 // Done is closed when the session ends.
@@ -87,11 +87,11 @@
 // Close ends the session.
 func (s *Session) Close() error { return s.mux.Close() }
 
-// NewPool returns an empty pool. Opened is called, without any lock held,
-// for each new session, so that its control stream can be opened.
-func NewPool(dialer Dialer, opened func(address string, s *Session), options ...Option) *Pool {
+// NewPool returns an empty pool. Unless it is nil, onOpen is called without any lock
+// held for each new session, for example to open its control stream.
+func NewPool(dialer Dialer, onOpen func(address string, s *Session), options ...Option) *Pool {
 	p := &Pool{
-		dialer: dialer, opened: opened, dialWithin: dialTimeout,
+		dialer: dialer, onOpen: onOpen, dialTimeout: defaultDialTimeout,
 		sessions: make(map[string]*Session), dialing: make(map[string]*dialAttempt), closing: make(chan struct{}),
 	}
 	for _, option := range options {
@@ -100,14 +100,15 @@
 	return p
 }
 
-// Option changes a pool.
+// Option configures a pool.
 type Option func(*Pool)
 
-// DialWithin bounds one connection attempt, for callers that try again at once.
-func DialWithin(d time.Duration) Option { return func(p *Pool) { p.dialWithin = d } }
+// DialWithin sets the timeout of one connection attempt, for callers that retry
+// quickly.
+func DialWithin(timeout time.Duration) Option { return func(p *Pool) { p.dialTimeout = timeout } }
 
-// Open opens a stream to the address, on a new session if there is none. A
-// Refused error proves that nothing was delivered.
+// Open opens a stream to the address, on a new session if there is none. If the
+// error is Refused, nothing was delivered.
 func (p *Pool) Open(ctx context.Context, address string) (*Stream, error) {
 	session, err := p.Session(ctx, address)
 	if err != nil {
@@ -125,12 +126,12 @@
 	return session.Open()
 }
 
-// Session returns the live session to the address, dialing when needed.
+// Session returns the open session to the address, dialing if needed.
 func (p *Pool) Session(ctx context.Context, address string) (*Session, error) {
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		return nil, Refused.New("this process is closing; ask another entry")
+		return nil, Refused.New("this process is shutting down; retry at another entry")
 	}
 	if session := p.sessions[address]; session != nil && !session.mux.IsClosed() {
 		p.mu.Unlock()
@@ -147,18 +148,18 @@
 	case <-attempt.done:
 		return attempt.session, attempt.err
 	case <-ctx.Done():
-		return nil, Refused.Wrap(ctx.Err(), "no link to %s in time; nothing was sent", address)
+		return nil, Refused.Wrap(ctx.Err(), "no session with %s before the deadline; nothing was sent", address)
 	}
 }
 
 func (p *Pool) dial(address string, attempt *dialAttempt) {
-	ctx, cancel := context.WithTimeout(context.Background(), p.dialWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), p.dialTimeout)
 	defer cancel()
 	session, err := p.connect(ctx, address)
 	p.mu.Lock()
 	delete(p.dialing, address)
 	if err == nil && p.closed {
-		err = Refused.New("this process is closing; ask another entry")
+		err = Refused.New("this process is shutting down; retry at another entry")
 		closeQuietly(session.mux)
 	}
 	if err == nil {
@@ -167,8 +168,8 @@
 	p.mu.Unlock()
 	attempt.session, attempt.err = session, err
 	close(attempt.done)
-	if err == nil && p.opened != nil {
-		p.opened(address, session)
+	if err == nil && p.onOpen != nil {
+		p.onOpen(address, session)
 	}
 }
 
@@ -176,51 +177,51 @@
 	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return nil, Refused.Wrap(err, "nothing listens at %s; choose another", address)
+			return nil, Refused.Wrap(err, "connection refused by %s; use another address", address)
 		}
-		return nil, Refused.Wrap(err, "no connection to %s; choose another", address)
+		return nil, Refused.Wrap(err, "cannot connect to %s; use another address", address)
 	}
-	mux, err := yamux.Client(conn, config(keepAlive))
+	mux, err := yamux.Client(conn, muxConfig(clientPingInterval))
 	if err != nil {
 		closeQuietly(conn)
-		return nil, Refused.Wrap(err, "no session with %s; choose another", address)
+		return nil, Refused.Wrap(err, "cannot start a session with %s; use another address", address)
 	}
-	return &Session{address: address, number: p.next.Add(1), mux: mux}, nil
+	return &Session{address: address, number: p.lastNumber.Add(1), mux: mux}, nil
 }
 
-// Ping asks the peer at the address for a sign of life, and returns nil once it
-// came. A session that gives none before the context ends is replaced.
+// Ping sends a ping to the address, dialing if needed, and returns nil once the reply
+// has arrived. If none arrives before the context ends, the session is replaced.
 func (p *Pool) Ping(ctx context.Context, address string) error {
 	session, err := p.Session(ctx, address)
 	if err != nil {
 		return err
 	}
-	answer := make(chan error, 1)
+	result := make(chan error, 1)
 	p.mu.Lock()
 	if p.closed {
 		p.mu.Unlock()
-		return Refused.New("this process is closing; ask another entry")
+		return Refused.New("this process is shutting down; retry at another entry")
 	}
 	p.wg.Go(func() {
 		_, err := session.mux.Ping()
-		answer <- err
+		result <- err
 	})
 	p.mu.Unlock()
 	select {
-	case err = <-answer:
+	case err = <-result:
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
 	if err != nil {
 		p.Replace(address, session.number)
-		return Silent.Wrap(err, "%s gives no sign of life; choose another", address)
+		return Silent.Wrap(err, "no reply to a ping from %s; use another address", address)
 	}
 	return nil
 }
 
-// Replace forgets a session that was found silent or broken, so that the next
-// Open dials anew. The streams on it are left to their own deadlines: what
-// looks silent to one may still deliver to another.
+// Replace removes a session that is silent or broken from the pool, so that the next
+// Open dials a new one. Its streams stay open until their own deadlines, because a
+// session that is silent for one stream may still deliver on another.
 func (p *Pool) Replace(address string, number uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -232,17 +233,17 @@
 	p.wg.Go(func() { p.retire(session) })
 }
 
-// retire closes a replaced session once its streams had time to end.
+// retire closes a replaced session after giving its streams time to end.
 func (p *Pool) retire(session *Session) {
 	select {
 	case <-session.Done():
 	case <-p.closing:
-	case <-time.After(retireAfter):
+	case <-time.After(retireTimeout):
 	}
 	closeQuietly(session.mux)
 }
 
-// Holds tells whether there is a live session to the address.
+// Holds reports whether the pool has an open session to the address.
 func (p *Pool) Holds(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -250,7 +251,7 @@
 	return session != nil && !session.mux.IsClosed()
 }
 
-// Drop closes the session to an address that left.
+// Drop closes the session to an address that is no longer in use.
 func (p *Pool) Drop(address string) {
 	p.mu.Lock()
 	session := p.sessions[address]
@@ -261,14 +262,14 @@
 	}
 }
 
-// Len returns the number of sessions held.
+// Len returns the number of sessions in the pool.
 func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.sessions)
 }
 
-// Close ends all sessions and waits for them.
+// Close closes all sessions and waits for the pool's goroutines.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	if !p.closed {
@@ -285,15 +286,15 @@
 	return nil
 }
 
-// config returns the settings of a yamux session that pings at the interval.
-func config(ping time.Duration) *yamux.Config {
+// muxConfig returns the configuration of a yamux session that pings at the interval.
+func muxConfig(pingInterval time.Duration) *yamux.Config {
 	config := yamux.DefaultConfig()
-	config.KeepAliveInterval = ping
-	config.MaxStreamWindowSize = streamWindow
+	config.KeepAliveInterval = pingInterval
+	config.MaxStreamWindowSize = maxStreamWindow
 	config.LogOutput = io.Discard
 	return config
 }
 
-// closeQuietly closes what is of no use any more; a failure to do so changes
-// nothing for anyone.
+// closeQuietly closes a connection or session that is no longer used, and ignores the
+// error.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/fleet/link/server.go
+++ b/internal/fleet/link/server.go
@@ -13,17 +13,17 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/wait"
 )
 
-// acceptPause is waited after a connection could not be accepted.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after a failed Accept.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// Handler serves one stream; it owns the stream and closes it.
+// Handler serves one stream. It owns the stream and must close it.
 type Handler func(ctx context.Context, s *Stream)
 
-// Server accepts sessions and hands each of their streams to a handler.
+// Server accepts sessions and passes each of their streams to a handler.
 type Server struct {
-	listener net.Listener
-	handle   Handler
-	next     atomic.Uint64
+	listener   net.Listener
+	handle     Handler
+	lastNumber atomic.Uint64
 
 	mu       sync.Mutex
 	sessions map[uint64]*yamux.Session
@@ -33,7 +33,7 @@
 	ctx      context.Context
 }
 
-// Serve starts accepting on the listener.
+// Serve starts to accept sessions on the listener.
 func Serve(listener net.Listener, handle Handler) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{listener: listener, handle: handle, sessions: make(map[uint64]*yamux.Session), ctx: ctx, cancel: cancel}
@@ -42,7 +42,7 @@
 	return s
 }
 
-// Addr returns the address served.
+// Addr returns the listener's address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 func (s *Server) acceptSessions() {
@@ -53,8 +53,8 @@
 			if errors.Is(err, net.ErrClosed) || s.ctx.Err() != nil {
 				return
 			}
-			// A process without free descriptors is told so at once, each time.
-			wait.For(s.ctx, acceptPause)
+			// Without free file descriptors, Accept fails immediately each time.
+			wait.For(s.ctx, acceptRetryDelay)
 			continue
 		}
 		s.startSession(conn)
@@ -62,7 +62,7 @@
 }
 
 func (s *Server) startSession(conn net.Conn) {
-	mux, err := yamux.Server(conn, config(reapAfter))
+	mux, err := yamux.Server(conn, muxConfig(serverPingInterval))
 	if err != nil {
 		closeQuietly(conn)
 		return
@@ -73,7 +73,7 @@
 		closeQuietly(mux)
 		return
 	}
-	number := s.next.Add(1)
+	number := s.lastNumber.Add(1)
 	s.sessions[number] = mux
 	s.wg.Add(1)
 	go s.acceptStreams(number, mux)
@@ -102,14 +102,14 @@
 	s.mu.Unlock()
 }
 
-// Sessions returns the number of sessions held.
+// Sessions returns the number of open sessions.
 func (s *Server) Sessions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
 }
 
-// Close stops accepting, ends all sessions and waits for their handlers.
+// Close stops accepting, closes all sessions and waits for their handlers.
 func (s *Server) Close() error {
 	err := s.listener.Close()
 	s.cancel()
--- a/internal/fleet/link/stream.go
+++ b/internal/fleet/link/stream.go
@@ -1,6 +1,6 @@
-// Package link carries envelopes between two processes of the system: one
-// yamux session over TCP for each pair, one stream for each request. Progress
-// on a stream, not the state of a socket, is the evidence that a link lives.
+// Package link transports envelopes between two processes of the system: one
+// yamux session over TCP for each pair, one stream for each request. Whether a
+// session works is judged by progress on its streams, not by the socket's state.
 package link
 
 import (
@@ -20,23 +20,24 @@
 
 // Errors of this package.
 var (
-	// Refused: nothing listens at the address, so nothing was delivered.
+	// Refused: no session could be established, so nothing was delivered.
 	Refused = namespace.NewType("refused")
-	// Silent: nothing came within the time allowed.
+	// Silent: nothing was received before the deadline.
 	Silent = namespace.NewType("silent")
-	// Broken: the stream ended or its bytes make no sense.
+	// Broken: the stream ended or its data cannot be decoded.
 	Broken = namespace.NewType("broken")
 )
 
 const (
-	// MaxFrame bounds one envelope; a request's body must fit.
+	// MaxFrame bounds the size of one envelope in bytes; a request's body must fit.
 	MaxFrame = 2 << 20
-	// readBuffer and writeBuffer are per stream.
-	readBuffer  = 4 << 10
-	writeBuffer = 4 << 10
+	// readBufferSize and writeBufferSize are in bytes for each stream.
+	readBufferSize  = 4 << 10
+	writeBufferSize = 4 << 10
 )
 
-// Stream is one ordered conversation, safe for one reader and many writers.
+// Stream is an ordered, bidirectional sequence of envelopes. It is safe for one
+// reader and several writers.
 type Stream struct {
 	conn    net.Conn
 	reader  *bufio.Reader
@@ -46,13 +47,13 @@
 	writer *bufio.Writer
 }
 
-// NewStream wraps a connection of one stream. Session numbers the session it
-// belongs to, for Pool.Replace.
+// NewStream wraps the connection of one stream. Session is the number of the session
+// that it belongs to, for Pool.Replace.
 func NewStream(conn net.Conn, session uint64) *Stream {
 	return &Stream{
 		conn:    conn,
-		reader:  bufio.NewReaderSize(conn, readBuffer),
-		writer:  bufio.NewWriterSize(conn, writeBuffer),
+		reader:  bufio.NewReaderSize(conn, readBufferSize),
+		writer:  bufio.NewWriterSize(conn, writeBufferSize),
 		session: session,
 	}
 }
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// Receive reads one envelope before the deadline. A deadline that passes in
-// the midst of a message leaves the stream unusable, as any error does.
+// Receive reads one envelope before the deadline. After any error, also after a
+// deadline that passed in the middle of a message, the stream is unusable.
 func (s *Stream) Receive(deadline time.Time) (*wire.Envelope, error) {
 	if err := s.conn.SetReadDeadline(deadline); err != nil {
 		return nil, Broken.Wrap(err, "set a read deadline; open a new stream")
@@ -88,14 +89,14 @@
 	if err == nil {
 		return envelope, nil
 	}
-	var failure net.Error
-	if errors.As(err, &failure) && failure.Timeout() {
-		return nil, Silent.Wrap(err, "nothing came in time; ask again on a new link")
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return nil, Silent.Wrap(err, "no message before the deadline; retry on a new session")
 	}
 	return nil, Broken.Wrap(err, "read a message; open a new stream")
 }
 
-// Decode reads one envelope, at most MaxFrame long.
+// Decode reads one envelope of at most MaxFrame bytes.
 func Decode(reader protodelim.Reader) (*wire.Envelope, error) {
 	envelope := &wire.Envelope{}
 	options := protodelim.UnmarshalOptions{MaxSize: MaxFrame}
@@ -105,5 +106,5 @@
 	return envelope, nil
 }
 
-// Close ends the stream in both directions.
+// Close closes the stream in both directions.
 func (s *Stream) Close() error { return s.conn.Close() }
--- a/internal/fleet/link/stream_test.go
+++ b/internal/fleet/link/stream_test.go
@@ -25,7 +25,7 @@
 	return &wire.Envelope{Body: &wire.Envelope_Heartbeat{Heartbeat: &wire.Heartbeat{}}}
 }
 
-// echo answers each message with the same.
+// echo sends each message back.
 func echo(_ context.Context, s *link.Stream) {
 	defer func() { _ = s.Close() }()
 	for {
@@ -36,9 +36,9 @@
 	}
 }
 
-// A connection goes silent for good while new ones work.
-// The stream on it must end as silent in the time allowed, and the next one
-// must come over a new session.
+// Guards against a connection that stops delivering for good while new ones work: a
+// stream on it must fail as Silent at its deadline, and the next stream must use a new
+// session.
 func TestSilentSessionIsReplaced(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		net := network.New()
@@ -68,8 +68,9 @@
 	})
 }
 
-// "Not run" is told on this error alone, so it must mean that nothing listens.
-func TestRefusedMeansNothingWasSent(t *testing.T) {
+// Callers are told that a request was not run on the strength of this error alone, so it
+// must mean that nothing was sent.
+func TestRefusedErrorMeansNothingWasSent(t *testing.T) {
 	pool := link.NewPool(network.New(), nil)
 	_, err := pool.Open(context.Background(), "127.0.0.1:9")
 	require.True(t, errorx.IsOfType(err, link.Refused))
@@ -79,10 +80,10 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	var whole bytes.Buffer
-	_, err := protodelim.MarshalTo(&whole, heartbeat())
+	var valid bytes.Buffer
+	_, err := protodelim.MarshalTo(&valid, heartbeat())
 	require.NoError(f, err)
-	f.Add(whole.Bytes())
+	f.Add(valid.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		envelope, err := link.Decode(bufio.NewReader(bytes.NewReader(raw)))
@@ -92,9 +93,9 @@
 	})
 }
 
-// A request was lost with the first message on a link whose other end had been
-// gone for seconds.
-func TestPingFindsALinkThatLeadsNowhere(t *testing.T) {
+// Guards against a request that is lost because it is the first message on a session
+// whose other end failed seconds ago.
+func TestPingDetectsDeadSession(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		n := network.New()
 		listener, err := n.Listen("127.0.0.1:0")
@@ -110,7 +111,7 @@
 		n.Silence(server.Addr())
 		require.True(t, errorx.IsOfType(ping(), link.Silent))
 		require.False(t, pool.Holds(server.Addr()))
-		require.NoError(t, ping(), "a new session is made")
+		require.NoError(t, ping(), "no new session was opened")
 		n.Vanish(server.Addr())
 		require.True(t, errorx.IsOfType(ping(), link.Silent))
 		require.True(t, errorx.IsOfType(ping(), link.Refused))
@@ -120,26 +121,26 @@
 	})
 }
 
-// fullListener accepts nothing, as in a process without free descriptors.
-type fullListener struct {
+// failingListener accepts nothing, as in a process without free file descriptors.
+type failingListener struct {
 	net.Listener
-	tries atomic.Int64
+	attempts atomic.Int64
 }
 
-func (l *fullListener) Accept() (net.Conn, error) {
-	l.tries.Add(1)
+func (l *failingListener) Accept() (net.Conn, error) {
+	l.attempts.Add(1)
 	return nil, syscall.EMFILE
 }
 
-// Guards against a server that takes the whole processor while it can accept nothing.
-func TestAcceptingIsTriedAgainAfterAPause(t *testing.T) {
+// Guards against a server that uses a whole CPU while Accept fails.
+func TestAcceptIsRetriedAfterDelay(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		listener, err := network.New().Listen("127.0.0.1:0")
 		require.NoError(t, err)
-		full := &fullListener{Listener: listener}
-		server := link.Serve(full, echo)
+		failing := &failingListener{Listener: listener}
+		server := link.Serve(failing, echo)
 		bubble.Pass(time.Second)
-		require.LessOrEqual(t, full.tries.Load(), int64(51))
+		require.LessOrEqual(t, failing.attempts.Load(), int64(51))
 		require.NoError(t, server.Close())
 	})
 }
