--- a/internal/trial/pattern/engine.go
+++ b/internal/trial/pattern/engine.go
@@ -1,6 +1,6 @@
-// Package pattern plays named load patterns against emulated engines in fake
-// time, without a network, and tells who was served in time. It is where a rule
-// of choice is measured before it is measured anywhere else.
+// Package pattern simulates named load patterns against emulated engines in
+// virtual time, without a network, and reports which requests were served in
+// time. Placement policies are evaluated here first.
 package pattern
 
 import (
@@ -9,38 +9,40 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/profile"
 )
 
-// eventTokens is how many tokens one event of a stream holds.
-const eventTokens = 6
+// tokensPerEvent is the number of tokens in one event of a stream.
+const tokensPerEvent = 6
 
-// job is one generation on its way through an engine.
+// job is the state of one request at an engine. promptLeft counts the prompt
+// tokens that are not prefilled yet.
 type job struct {
-	request *request
-	unread  int
-	made    int
-	events  int
-	eventAt time.Time
+	request     *request
+	promptLeft  int
+	generated   int
+	events      int
+	lastEventAt time.Time
 }
 
-// engine emulates a batching engine step by step: each step makes one token for
-// every running request that is read and reads one chunk of prompts, in the
-// order of arrival.
+// engine emulates an inference engine with continuous batching and chunked
+// prefill: each step generates one token for every running request whose prompt
+// is prefilled, and prefills one chunk of prompt tokens in order of arrival.
 type engine struct {
 	id       string
 	slots    int
 	slowness float64
-	// reading and fixed are those of the engine's make.
-	reading float64
-	fixed   time.Duration
-	running []*job
-	queue   []*job
-	down    bool
-	// busy tells that a step is under way.
-	busy bool
+	// prefillFactor and firstEventDelay come from the EngineModel.
+	prefillFactor   float64
+	firstEventDelay time.Duration
+	running         []*job
+	queue           []*job
+	down            bool
+	// stepping is true while a step is scheduled.
+	stepping bool
 }
 
-// add takes a request; what exceeds the slots waits in the engine's own queue.
+// add accepts a request; it waits in the engine's own queue if all slots are
+// taken.
 func (e *engine) add(r *request) {
-	j := &job{request: r, unread: max(1, r.prompt)}
+	j := &job{request: r, promptLeft: max(1, r.prompt)}
 	if len(e.running) < e.slots {
 		e.running = append(e.running, j)
 		return
@@ -48,42 +50,43 @@
 	e.queue = append(e.queue, j)
 }
 
-// load is how many requests the engine has.
+// load returns the number of running and queued requests.
 func (e *engine) load() int { return len(e.running) + len(e.queue) }
 
-// step makes one step and returns how long it takes and the jobs that ended.
+// step runs one step and returns its duration and the jobs that finished.
 func (e *engine) step(now time.Time) (time.Duration, []*job) {
-	length := profile.StepTime(len(e.running)) * e.slowness
-	left := profile.Chunk
+	milliseconds := profile.StepTime(len(e.running)) * e.slowness
+	chunkLeft := profile.Chunk
 	for _, j := range e.running {
-		if j.unread == 0 || left == 0 {
+		if j.promptLeft == 0 || chunkLeft == 0 {
 			continue
 		}
-		part := min(left, j.unread)
-		left -= part
-		j.unread -= part
-		done := float64(j.request.prompt-j.unread) / 1000
-		before := float64(j.request.prompt-j.unread-part) / 1000
-		length += (float64(part)/profile.PromptPerMs + profile.Quadratic*(done*done-before*before)) * e.slowness * e.reading
+		tokens := min(chunkLeft, j.promptLeft)
+		chunkLeft -= tokens
+		j.promptLeft -= tokens
+		after := float64(j.request.prompt-j.promptLeft) / 1000
+		before := float64(j.request.prompt-j.promptLeft-tokens) / 1000
+		milliseconds += (float64(tokens)/profile.PromptPerMs + profile.Quadratic*(after*after-before*before)) * e.slowness * e.prefillFactor
 	}
-	took := time.Duration(length * float64(time.Millisecond))
-	return took, e.decode(now.Add(took))
+	duration := time.Duration(milliseconds * float64(time.Millisecond))
+	return duration, e.decode(now.Add(duration))
 }
 
-// decode makes one token for each request that is read.
+// decode generates one token for each running request whose prompt is prefilled
+// and fills free slots from the queue.
 func (e *engine) decode(at time.Time) []*job {
 	var ended []*job
 	kept := e.running[:0]
 	for _, j := range e.running {
-		if j.unread > 0 {
+		if j.promptLeft > 0 {
 			kept = append(kept, j)
 			continue
 		}
-		j.made++
-		if j.made == 1 || j.made%eventTokens == 0 {
-			j.event(at, e.fixed)
+		j.generated++
+		if j.generated == 1 || j.generated%tokensPerEvent == 0 {
+			j.recordEvent(at, e.firstEventDelay)
 		}
-		if j.made >= j.request.output {
+		if j.generated >= j.request.output {
 			ended = append(ended, j)
 			continue
 		}
@@ -97,26 +100,26 @@
 	return ended
 }
 
-// event notes that an event reaches the caller.
-func (j *job) event(at time.Time, fixed time.Duration) {
+// recordEvent records the time at which the caller receives an event.
+func (j *job) recordEvent(at time.Time, firstEventDelay time.Duration) {
 	r := j.request
 	j.events++
 	if j.events == 1 {
-		r.first = at.Add(fixed)
-		j.eventAt = r.first
+		r.firstEventAt = at.Add(firstEventDelay)
+		j.lastEventAt = r.firstEventAt
 		return
 	}
-	seen := at
-	if seen.Before(r.first) {
-		seen = r.first
+	receivedAt := at
+	if receivedAt.Before(r.firstEventAt) {
+		receivedAt = r.firstEventAt
 	}
-	if gap := seen.Sub(j.eventAt); gap > r.longestGap {
+	if gap := receivedAt.Sub(j.lastEventAt); gap > r.longestGap {
 		r.longestGap = gap
 	}
-	j.eventAt = seen
+	j.lastEventAt = receivedAt
 }
 
-// crash drops all that the engine has.
+// crash takes the engine down and returns the jobs that are lost.
 func (e *engine) crash() []*job {
 	lost := append(append([]*job(nil), e.running...), e.queue...)
 	e.running, e.queue, e.down = nil, nil, true
--- a/internal/trial/pattern/load.go
+++ b/internal/trial/pattern/load.go
@@ -13,266 +13,275 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/profile"
 )
 
-// class is one kind of request of the users' sheet.
+// class is one class of requests in the workload specification.
 type class struct {
-	name      string
-	tier      int
-	perSecond float64
-	// prompt and output are medians of log-normal sizes, spread their sigmas.
-	prompt, output             float64
-	promptSpread, outputSpread float64
-	promptMost, outputMost     int
-	objective                  time.Duration
+	name        string
+	tier        int
+	arrivalRate float64
+	// Prompt and output sizes in tokens are log-normal, with these medians and
+	// sigmas, and capped at the maxima.
+	promptMedian, outputMedian float64
+	promptSigma, outputSigma   float64
+	promptMax, outputMax       int
+	firstEventTarget           time.Duration
 	maxGap                     time.Duration
-	until                      time.Duration
-	worth, late                float64
-	// meanSize is the mean of prompt and ten times the output, by which a
-	// request's worth is weighed.
+	timeout                    time.Duration
+	value, lateValue           float64
+	// meanSize is the mean of prompt + outputTokenWeight*output; valueFactor
+	// scales a request's value by it.
 	meanSize float64
 }
 
-// The users weigh a generation by its size: a part is the same for all, the rest
-// grows with prompt and output, up to a bound.
+// The value of a generation depends on its size: one share is fixed, the rest
+// grows with prompt and output, up to a maximum.
 const (
-	sameWorth  = 0.3
-	worthMost  = 4
-	outputSize = 10
+	fixedValueShare   = 0.3
+	maxValueFactor    = 4
+	outputTokenWeight = 10
 )
 
-// weight is a request's worth in parts of its class's.
-func (c *class) weight(prompt, output int) float64 {
-	size := float64(prompt + outputSize*output)
-	return min(worthMost, sameWorth+(1-sameWorth)*size/c.meanSize)
+// valueFactor returns the value of a request relative to that of its class.
+func (c *class) valueFactor(prompt, output int) float64 {
+	size := float64(prompt + outputTokenWeight*output)
+	return min(maxValueFactor, fixedValueShare+(1-fixedValueShare)*size/c.meanSize)
 }
 
-// classes are the generations of the Atelier's sheet. The medians and spreads
-// reproduce the means that it states and the quantiles of a measured day.
+// classes are the generation classes in the workload specification of the
+// Atelier deployment. The medians and sigmas reproduce the means given there and
+// the quantiles of a recorded day.
 var classes = []class{
 	{"sketch-critique", 0, 39.9, 3900, 200, 1.05, 1.05, 54_600, 3840, 600 * time.Millisecond, 250 * time.Millisecond, 15 * time.Second, 7.3, 0.73, 6670 + 10*384},
 	{"technique-answer", 1, 52.6, 500, 155, 0.75, 1.05, 3310, 2940, 300 * time.Millisecond, 250 * time.Millisecond, 12 * time.Second, 2.2, 0.22, 690 + 10*294},
 	{"lesson-tag", 2, 79.7, 1100, 11, 1.0, 1.05, 6870, 228, 400 * time.Millisecond, 250 * time.Millisecond, 3 * time.Second, 0.29, 0.029, 1860 + 10*24},
 }
 
-// request is one request of a pattern and what became of it.
+// request is one simulated request and its outcome.
 type request struct {
-	id         string
-	class      *class
-	arrived    time.Time
-	prompt     int
-	output     int
-	guess      int
-	first      time.Time
-	longestGap time.Duration
-	refused    bool
-	lost       bool
-	// again is when a refused request came back, and until when its caller
-	// waits. Callers come back once.
-	again time.Time
-	// held is how long it waited in vain until it was refused, in all.
-	held time.Duration
-	// asked is when it last asked for a place.
-	asked time.Time
+	id             string
+	class          *class
+	arrivedAt      time.Time
+	prompt         int
+	output         int
+	outputEstimate int
+	firstEventAt   time.Time
+	longestGap     time.Duration
+	refused        bool
+	lost           bool
+	// retryAt is when the caller retries after a refusal; zero before the first
+	// refusal. A caller retries once.
+	retryAt time.Time
+	// waitBeforeRefusal is the total time that the request waited for a slot
+	// before it was refused.
+	waitBeforeRefusal time.Duration
+	// submittedAt is when the request was last submitted.
+	submittedAt time.Time
 }
 
-// worth returns what the request is worth in time, and what it came to.
-func (r *request) worth() (owed, earned float64) {
-	weight := r.class.weight(r.prompt, r.output)
-	owed = weight * r.class.worth
+// value returns the value of the request if answered in time, and the value that
+// was earned.
+func (r *request) value() (possible, earned float64) {
+	factor := r.class.valueFactor(r.prompt, r.output)
+	possible = factor * r.class.value
 	switch {
 	case r.inTime():
-		return owed, owed
+		return possible, possible
 	case r.served():
-		return owed, weight * r.class.late
+		return possible, factor * r.class.lateValue
 	}
-	return owed, 0
+	return possible, 0
 }
 
-// fingerprint recognizes the request when it comes back.
+// fingerprint identifies the request across retries.
 func (r *request) fingerprint() uint64 { return xxhash.Sum64String(r.id) }
 
-// returnPart is the part of the time left that a caller waits at most before it
-// comes back.
-const returnPart = 1.0 / 3
+// maxRetryWaitShare is the largest share of the remaining time that a caller
+// waits before it retries.
+const maxRetryWaitShare = 1.0 / 3
 
-// refuse notes a refusal. It tells when the caller comes back, if it does.
+// refuse records a refusal. It returns when the caller retries, and whether it
+// does.
 func (r *request) refuse(now time.Time, retryAfter time.Duration) (time.Time, bool) {
-	r.held += now.Sub(r.asked)
-	if !r.again.IsZero() {
+	r.waitBeforeRefusal += now.Sub(r.submittedAt)
+	if !r.retryAt.IsZero() {
 		r.refused = true
 		return time.Time{}, false
 	}
-	left := r.arrived.Add(r.class.until).Sub(now)
-	r.again = now.Add(min(retryAfter, time.Duration(returnPart*float64(left))))
-	return r.again, true
+	timeLeft := r.arrivedAt.Add(r.class.timeout).Sub(now)
+	r.retryAt = now.Add(min(retryAfter, time.Duration(maxRetryWaitShare*float64(timeLeft))))
+	return r.retryAt, true
 }
 
-// inTime tells whether the caller got all when it was due.
+// inTime reports whether the request was served within its targets for the first
+// event and for the gap between events.
 func (r *request) inTime() bool {
-	return r.served() && r.first.Sub(r.arrived) <= r.class.objective && r.longestGap <= r.class.maxGap
+	return r.served() && r.firstEventAt.Sub(r.arrivedAt) <= r.class.firstEventTarget && r.longestGap <= r.class.maxGap
 }
 
-func (r *request) served() bool { return !r.first.IsZero() && !r.refused && !r.lost }
+func (r *request) served() bool { return !r.firstEventAt.IsZero() && !r.refused && !r.lost }
 
-// Burst multiplies the traffic of a tier, or of all with Tier -1.
+// Burst multiplies the traffic of one tier, or of all tiers if Tier is -1.
 type Burst struct {
-	At, For time.Duration
-	Tier    int
-	Times   float64
+	At, Duration time.Duration
+	Tier         int
+	Factor       float64
 }
 
-// Crash takes a part of the engines away.
+// Crash takes a share of the engines down for a time.
 type Crash struct {
-	At, For time.Duration
-	Share   float64
+	At, Duration time.Duration
+	Share        float64
 }
 
-// Failing makes all engines answer a part of the requests with a failure.
-type Failing struct {
-	At, For time.Duration
-	Share   float64
+// FailurePeriod makes all engines fail a share of the requests for a time.
+type FailurePeriod struct {
+	At, Duration time.Duration
+	Share        float64
 }
 
-// failAfter is how long an engine takes to answer with a failure.
-const failAfter = 60 * time.Millisecond
+// failureLatency is the time until an engine responds with a failure.
+const failureLatency = 60 * time.Millisecond
 
-// Pattern is a named load.
+// Pattern is a named load pattern.
 type Pattern struct {
 	Name string
-	// Story says which trouble of a day it stands for.
-	Story  string
-	Length time.Duration
-	// Scale multiplies the sheet's traffic.
-	Scale   float64
-	Bursts  []Burst
-	Crashes []Crash
-	Failing []Failing
-	// LongPrompts makes this part of the top tier's prompts ten times as long.
-	LongPrompts float64
-	// LongAnswers makes this part of the top tier's answers of the greatest
-	// length, by their guess too.
-	LongAnswers float64
-	// Make is the engines' make; the zero value is the Atelier's.
-	Make Make
+	// Description names the situation that the pattern represents.
+	Description string
+	Duration    time.Duration
+	// Scale multiplies the arrival rates of the classes.
+	Scale    float64
+	Bursts   []Burst
+	Crashes  []Crash
+	Failures []FailurePeriod
+	// LongPromptShare is the share of the top tier's prompts that are ten times
+	// as long.
+	LongPromptShare float64
+	// LongAnswerShare is the share of the top tier's requests whose output, and
+	// its estimate, have the maximum length.
+	LongAnswerShare float64
+	// Model is the engine model; the zero value is that of the Atelier.
+	Model EngineModel
 }
 
-// Make is what a make of engines has that others have not.
-type Make struct {
-	// Engines is their number, Slots what each runs at once.
-	Engines, Slots int
-	// Reading is by how much they are slower at reading prompts than their
-	// decoding tells.
-	Reading float64
-	// Fixed is the time to a first event that is no engine's work.
-	Fixed time.Duration
+// EngineModel describes the engines of a simulation.
+type EngineModel struct {
+	// Count is the number of engines, Slots the requests that each runs at once.
+	Count, Slots int
+	// PrefillFactor multiplies the prefill time that decode speed suggests.
+	PrefillFactor float64
+	// FirstEventDelay is the part of the time to the first event that is spent
+	// outside the engine.
+	FirstEventDelay time.Duration
 }
 
-// engineMake returns the pattern's make of engines.
-func (p Pattern) engineMake() Make {
-	if p.Make.Engines > 0 {
-		return p.Make
+// engineModel returns the pattern's engine model, or the default one.
+func (p Pattern) engineModel() EngineModel {
+	if p.Model.Count > 0 {
+		return p.Model
 	}
-	return Make{Engines: engineCount, Slots: slotCount, Reading: 1, Fixed: profile.Fixed}
+	return EngineModel{Count: defaultEngineCount, Slots: defaultSlotCount, PrefillFactor: 1, FirstEventDelay: profile.Fixed}
 }
 
-// Patterns are the loads that the rules of choice are measured by.
+// Patterns are the load patterns on which placement policies are evaluated.
 var Patterns = []Pattern{
-	{Name: "calm", Story: "a day of the sheet's traffic", Length: 12 * time.Second, Scale: 1},
-	{Name: "burst", Story: "an evening class begins: 1.9 times the traffic for four seconds", Length: 14 * time.Second, Scale: 1,
-		Bursts: []Burst{{At: 4 * time.Second, For: 4 * time.Second, Tier: -1, Times: 1.9}}},
-	{Name: "critique-wave", Story: "critiques alone double", Length: 14 * time.Second, Scale: 1,
-		Bursts: []Burst{{At: 4 * time.Second, For: 4 * time.Second, Tier: 0, Times: 2}}},
-	{Name: "tag-flood", Story: "tags come six times as often, and must not push critiques aside", Length: 14 * time.Second, Scale: 1,
-		Bursts: []Burst{{At: 4 * time.Second, For: 4 * time.Second, Tier: 2, Times: 6}}},
-	{Name: "quarter-lost", Story: "a quarter of the engines crashes for three seconds", Length: 14 * time.Second, Scale: 1,
-		Crashes: []Crash{{At: 4 * time.Second, For: 3 * time.Second, Share: 0.25}}},
-	{Name: "long-prompts", Story: "a tenth of the critiques is ten times as long", Length: 12 * time.Second, Scale: 0.8, LongPrompts: 0.1},
-	{Name: "long-answers", Story: "a twentieth of the critiques is of the greatest length, which slow engines cannot end in time", Length: 14 * time.Second, Scale: 0.8, LongAnswers: 0.05},
-	{Name: "other-engines", Story: "six engines with four times the slots, which read prompts half as fast and take longer to a first event", Length: 14 * time.Second, Scale: 0.5,
-		Make: Make{Engines: 6, Slots: 48, Reading: 2, Fixed: 140 * time.Millisecond}},
-	{Name: "long-burst", Story: "a class of the whole school: twice the traffic for ten seconds, and calm after it", Length: 20 * time.Second, Scale: 1,
-		Bursts: []Burst{{At: 2 * time.Second, For: 10 * time.Second, Tier: -1, Times: 2}}},
-	failAlike(5, 8, 1.1, 4*time.Second), failAlike(93, 8, 1.1, 4*time.Second), failAlike(600, 3, 1.3, 3000*time.Millisecond),
-	{Name: "overload", Story: "more than the engines can do, all the time", Length: 14 * time.Second, Scale: 1.5},
+	{Name: "calm", Description: "the specified traffic, without disturbances", Duration: 12 * time.Second, Scale: 1},
+	{Name: "burst", Description: "an evening class starts: 1.9 times the traffic for 4 s", Duration: 14 * time.Second, Scale: 1,
+		Bursts: []Burst{{At: 4 * time.Second, Duration: 4 * time.Second, Tier: -1, Factor: 1.9}}},
+	{Name: "critique-wave", Description: "critique traffic alone doubles", Duration: 14 * time.Second, Scale: 1,
+		Bursts: []Burst{{At: 4 * time.Second, Duration: 4 * time.Second, Tier: 0, Factor: 2}}},
+	{Name: "tag-flood", Description: "six times the tag traffic, which must not displace critiques", Duration: 14 * time.Second, Scale: 1,
+		Bursts: []Burst{{At: 4 * time.Second, Duration: 4 * time.Second, Tier: 2, Factor: 6}}},
+	{Name: "quarter-lost", Description: "a quarter of the engines is down for 3 s", Duration: 14 * time.Second, Scale: 1,
+		Crashes: []Crash{{At: 4 * time.Second, Duration: 3 * time.Second, Share: 0.25}}},
+	{Name: "long-prompts", Description: "a tenth of the critique prompts is ten times as long", Duration: 12 * time.Second, Scale: 0.8, LongPromptShare: 0.1},
+	{Name: "long-answers", Description: "a twentieth of the critiques has outputs of the maximum length, which slow engines cannot finish in time", Duration: 14 * time.Second, Scale: 0.8, LongAnswerShare: 0.05},
+	{Name: "other-engines", Description: "six engines with four times the slots, half the prefill speed and a later first event", Duration: 14 * time.Second, Scale: 0.5,
+		Model: EngineModel{Count: 6, Slots: 48, PrefillFactor: 2, FirstEventDelay: 140 * time.Millisecond}},
+	{Name: "long-burst", Description: "classes start in the whole school: twice the traffic for 10 s, then normal traffic", Duration: 20 * time.Second, Scale: 1,
+		Bursts: []Burst{{At: 2 * time.Second, Duration: 10 * time.Second, Tier: -1, Factor: 2}}},
+	uniformFailures(5, 8, 1.1, 4*time.Second), uniformFailures(93, 8, 1.1, 4*time.Second), uniformFailures(600, 3, 1.3, 3000*time.Millisecond),
+	{Name: "overload", Description: "sustained traffic beyond the capacity of the engines", Duration: 14 * time.Second, Scale: 1.5},
 }
 
-// failAlike returns the pattern for so many engines and slots, under a part of the
-// traffic that the Atelier's engines have for each slot.
-func failAlike(engines, slots int, part float64, span time.Duration) Pattern {
-	const before = 1500 * time.Millisecond
+// uniformFailures returns a pattern in which all engines fail at the same rate.
+// The load per slot is relative to that of the Atelier.
+func uniformFailures(engines, slots int, load float64, duration time.Duration) Pattern {
+	const warmUp = 1500 * time.Millisecond
 	return Pattern{
-		Name:   fmt.Sprintf("fail-alike-%d", engines),
-		Story:  "all engines fail 45 in 100 requests for some seconds",
-		Length: before + span + time.Second, Scale: part * float64(engines*slots) / (engineCount * slotCount),
-		Failing: []Failing{{At: before, For: span, Share: 0.45}},
-		Make:    Make{Engines: engines, Slots: slots, Reading: 1, Fixed: profile.Fixed},
+		Name:        fmt.Sprintf("fail-alike-%d", engines),
+		Description: "all engines fail 45% of the requests for some seconds",
+		Duration:    warmUp + duration + time.Second, Scale: load * float64(engines*slots) / (defaultEngineCount * defaultSlotCount),
+		Failures: []FailurePeriod{{At: warmUp, Duration: duration, Share: 0.45}},
+		Model:    EngineModel{Count: engines, Slots: slots, PrefillFactor: 1, FirstEventDelay: profile.Fixed},
 	}
 }
 
-// failing is the part of the requests that fail at the moment.
-func (p Pattern) failing(at time.Duration) float64 {
-	for _, f := range p.Failing {
-		if at >= f.At && at < f.At+f.For {
+// failureShare returns the share of the requests that fail at a moment.
+func (p Pattern) failureShare(at time.Duration) float64 {
+	for _, f := range p.Failures {
+		if at >= f.At && at < f.At+f.Duration {
 			return f.Share
 		}
 	}
 	return 0
 }
 
-// draw returns the requests of a pattern in the order of their arrival.
-func (p Pattern) draw(start time.Time, random *rand.Rand) []*request {
-	var all []*request
+// generateRequests draws the requests of a pattern, in order of arrival, from a
+// Poisson process with a varying rate.
+func (p Pattern) generateRequests(start time.Time, random *rand.Rand) []*request {
+	var requests []*request
 	for i := range classes {
 		c := &classes[i]
-		most := c.perSecond * p.Scale * p.peak(c.tier)
-		for at := time.Duration(0); at < p.Length; {
-			at += time.Duration(random.ExpFloat64() / most * float64(time.Second))
-			if at >= p.Length || random.Float64() > p.times(at, c.tier)/p.peak(c.tier) {
+		peakRate := c.arrivalRate * p.Scale * p.peakRateFactor(c.tier)
+		for at := time.Duration(0); at < p.Duration; {
+			at += time.Duration(random.ExpFloat64() / peakRate * float64(time.Second))
+			if at >= p.Duration || random.Float64() > p.rateFactor(at, c.tier)/p.peakRateFactor(c.tier) {
 				continue
 			}
-			all = append(all, p.request(start.Add(at), c, random))
+			requests = append(requests, p.generateRequest(start.Add(at), c, random))
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].arrived.Before(all[j].arrived) })
-	for i, r := range all {
+	sort.SliceStable(requests, func(i, j int) bool { return requests[i].arrivedAt.Before(requests[j].arrivedAt) })
+	for i, r := range requests {
 		r.id = strconv.Itoa(i)
 	}
-	return all
+	return requests
 }
 
-func (p Pattern) request(at time.Time, c *class, random *rand.Rand) *request {
-	r := &request{class: c, arrived: at}
-	r.prompt = size(random, c.prompt, c.promptSpread, c.promptMost)
-	if c.tier == 0 && random.Float64() < p.LongPrompts {
-		r.prompt = min(10*r.prompt, c.promptMost)
+func (p Pattern) generateRequest(at time.Time, c *class, random *rand.Rand) *request {
+	r := &request{class: c, arrivedAt: at}
+	r.prompt = sampleLogNormal(random, c.promptMedian, c.promptSigma, c.promptMax)
+	if c.tier == 0 && random.Float64() < p.LongPromptShare {
+		r.prompt = min(10*r.prompt, c.promptMax)
 	}
-	r.output = size(random, c.output, c.outputSpread, c.outputMost)
-	// Callers' guesses are right at the median and off by half.
-	const guessSpread = 0.5
-	r.guess = size(random, float64(r.output), guessSpread, c.outputMost)
-	if p.LongAnswers > 0 && c.tier == 0 && random.Float64() < p.LongAnswers {
-		r.output, r.guess = c.outputMost, c.outputMost
+	r.output = sampleLogNormal(random, c.outputMedian, c.outputSigma, c.outputMax)
+	// Callers' estimates of the output length are unbiased at the median, with a
+	// log-normal error.
+	const estimateSigma = 0.5
+	r.outputEstimate = sampleLogNormal(random, float64(r.output), estimateSigma, c.outputMax)
+	if p.LongAnswerShare > 0 && c.tier == 0 && random.Float64() < p.LongAnswerShare {
+		r.output, r.outputEstimate = c.outputMax, c.outputMax
 	}
 	return r
 }
 
-func size(random *rand.Rand, median, spread float64, most int) int {
-	return min(most, max(1, int(median*math.Exp(spread*random.NormFloat64()))))
+func sampleLogNormal(random *rand.Rand, median, sigma float64, limit int) int {
+	return min(limit, max(1, int(median*math.Exp(sigma*random.NormFloat64()))))
 }
 
-func (p Pattern) times(at time.Duration, tier int) float64 {
-	times := 1.0
+func (p Pattern) rateFactor(at time.Duration, tier int) float64 {
+	factor := 1.0
 	for _, b := range p.Bursts {
-		if at >= b.At && at < b.At+b.For && (b.Tier < 0 || b.Tier == tier) {
-			times *= b.Times
+		if at >= b.At && at < b.At+b.Duration && (b.Tier < 0 || b.Tier == tier) {
+			factor *= b.Factor
 		}
 	}
-	return times
+	return factor
 }
 
-func (p Pattern) peak(tier int) float64 {
+func (p Pattern) peakRateFactor(tier int) float64 {
 	peak := 1.0
 	for _, b := range p.Bursts {
-		peak = max(peak, p.times(b.At, tier))
+		peak = max(peak, p.rateFactor(b.At, tier))
 	}
 	return peak
 }
--- a/internal/trial/pattern/play.go
+++ b/internal/trial/pattern/play.go
@@ -9,27 +9,29 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// start is the moment at which every pattern begins.
-var start = time.Unix(1_000_000, 0)
+// startTime is the virtual time at which every simulation starts.
+var startTime = time.Unix(1_000_000, 0)
 
 const (
-	// engineCount and slotCount are the Atelier's.
-	engineCount = 18
-	slotCount   = 12
-	// seedStream tells the random numbers of patterns from others'.
-	seedStream = 0x70617474
-	// failStream is that of which requests fail.
-	failStream = 0x6661696c
+	// defaultEngineCount and defaultSlotCount are those of the Atelier.
+	defaultEngineCount = 18
+	defaultSlotCount   = 12
+	// workloadStream selects the random stream that generates requests and
+	// crashes, failureStream the one that decides which requests fail.
+	workloadStream = 0x70617474
+	failureStream  = 0x6661696c
 )
 
-// slownesses are the Atelier's engines: a third each.
-var slownesses = []float64{0.55, 1, 2.8}
+// engineSlowness are the step time factors of the Atelier's engines; each factor
+// applies to a third of them.
+var engineSlowness = []float64{0.55, 1, 2.8}
 
-// Policy places requests.
+// Policy places requests on engines.
 type Policy interface {
-	// Arrive takes a request.
+	// arrive submits a request.
 	arrive(now time.Time, r *request)
-	// started and ended tell what engines do.
+	// started, ended, lost and failed report the progress of a request: its first
+	// event, its end, the crash of its engine and a failure response.
 	started(now time.Time, e *engine, r *request)
 	ended(now time.Time, e *engine, r *request)
 	lost(now time.Time, e *engine, r *request)
@@ -37,150 +39,154 @@
 	tick(now time.Time)
 }
 
-type occasion struct {
-	at    time.Time
-	order int
-	do    func(now time.Time)
+// event is a callback scheduled in virtual time. Events of the same time run in
+// the order in which they were scheduled.
+type event struct {
+	at       time.Time
+	sequence int
+	run      func(now time.Time)
 }
 
-type agenda []occasion
+// eventQueue implements heap.Interface.
+type eventQueue []event
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
-	if a[i].at.Equal(a[j].at) {
-		return a[i].order < a[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	if q[i].at.Equal(q[j].at) {
+		return q[i].sequence < q[j].sequence
 	}
-	return a[i].at.Before(a[j].at)
+	return q[i].at.Before(q[j].at)
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(occasion)) }
-func (a *agenda) Pop() any {
-	old := *a
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-// play is one pattern under way.
-type play struct {
-	pattern Pattern
-	agenda  agenda
-	order   int
-	engines []*engine
-	policy  Policy
-	now     time.Time
-	random  *rand.Rand
+// simulation is the state of one run of a pattern.
+type simulation struct {
+	pattern      Pattern
+	events       eventQueue
+	lastSequence int
+	engines      []*engine
+	policy       Policy
+	now          time.Time
+	random       *rand.Rand
 }
 
-// NewPolicy returns a policy for the engines of a play.
-type NewPolicy func(p *play) Policy
-
-// Play plays the pattern and returns what became of its requests.
-func Play(p Pattern, seed uint64, policy NewPolicy) Result {
-	random := rand.New(rand.NewPCG(seed, seedStream))
-	world := &play{pattern: p, random: rand.New(rand.NewPCG(seed, failStream))}
-	kind := p.engineMake()
-	for i := range kind.Engines {
-		world.engines = append(world.engines, &engine{
-			id: "engine-" + strconv.Itoa(i), slots: kind.Slots, slowness: slownesses[i%len(slownesses)],
-			reading: kind.Reading, fixed: kind.Fixed,
+// NewPolicy creates the policy of a simulation.
+type NewPolicy func(p *simulation) Policy
+
+// Simulate runs the pattern and returns a summary of its requests.
+func Simulate(p Pattern, seed uint64, policy NewPolicy) Result {
+	random := rand.New(rand.NewPCG(seed, workloadStream))
+	s := &simulation{pattern: p, random: rand.New(rand.NewPCG(seed, failureStream))}
+	model := p.engineModel()
+	for i := range model.Count {
+		s.engines = append(s.engines, &engine{
+			id: "engine-" + strconv.Itoa(i), slots: model.Slots, slowness: engineSlowness[i%len(engineSlowness)],
+			prefillFactor: model.PrefillFactor, firstEventDelay: model.FirstEventDelay,
 		})
 	}
-	world.policy = policy(world)
-	requests := p.draw(start, random)
+	s.policy = policy(s)
+	requests := p.generateRequests(startTime, random)
 	for _, r := range requests {
-		world.at(r.arrived, func(now time.Time) { world.policy.arrive(now, r) })
+		s.schedule(r.arrivedAt, func(now time.Time) { s.policy.arrive(now, r) })
 	}
 	for _, c := range p.Crashes {
-		world.crash(c, random)
+		s.scheduleCrash(c, random)
 	}
-	world.at(start, world.tick)
-	world.run()
+	s.schedule(startTime, s.tick)
+	s.run()
 	return summarize(p, requests)
 }
 
-func (p *play) at(moment time.Time, do func(now time.Time)) {
-	p.order++
-	heap.Push(&p.agenda, occasion{at: moment, order: p.order, do: do})
+func (s *simulation) schedule(at time.Time, run func(now time.Time)) {
+	s.lastSequence++
+	heap.Push(&s.events, event{at: at, sequence: s.lastSequence, run: run})
 }
 
-func (p *play) run() {
-	for len(p.agenda) > 0 {
-		next := heap.Pop(&p.agenda).(occasion)
-		p.now = next.at
-		next.do(next.at)
+func (s *simulation) run() {
+	for len(s.events) > 0 {
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
+		next.run(next.at)
 	}
 }
 
-func (p *play) tick(now time.Time) {
-	p.policy.tick(now)
-	if now.Before(start.Add(p.pattern.Length + 5*time.Second)) {
-		p.at(now.Add(board.TickEvery), p.tick)
+func (s *simulation) tick(now time.Time) {
+	s.policy.tick(now)
+	if now.Before(startTime.Add(s.pattern.Duration + 5*time.Second)) {
+		s.schedule(now.Add(board.TickEvery), s.tick)
 	}
 }
 
-func (p *play) crash(c Crash, random *rand.Rand) {
-	count := int(c.Share * float64(len(p.engines)))
-	for _, i := range random.Perm(len(p.engines))[:count] {
-		e := p.engines[i]
-		p.at(start.Add(c.At), func(now time.Time) {
+func (s *simulation) scheduleCrash(c Crash, random *rand.Rand) {
+	count := int(c.Share * float64(len(s.engines)))
+	for _, i := range random.Perm(len(s.engines))[:count] {
+		e := s.engines[i]
+		s.schedule(startTime.Add(c.At), func(now time.Time) {
 			for _, j := range e.crash() {
 				j.request.lost = true
-				p.policy.lost(now, e, j.request)
+				s.policy.lost(now, e, j.request)
 			}
 		})
-		p.at(start.Add(c.At+c.For), func(time.Time) { e.down = false })
+		s.schedule(startTime.Add(c.At+c.Duration), func(time.Time) { e.down = false })
 	}
 }
 
-// send gives a request to an engine. It tells whether the engine took it.
-func (p *play) send(now time.Time, e *engine, r *request) bool {
+// dispatch sends a request to an engine and reports whether the engine accepted
+// it.
+func (s *simulation) dispatch(now time.Time, e *engine, r *request) bool {
 	if e.down {
 		return false
 	}
-	if share := p.pattern.failing(now.Sub(start)); share > 0 && p.random.Float64() < share {
-		p.at(now.Add(failAfter), func(now time.Time) {
+	if failureShare := s.pattern.failureShare(now.Sub(startTime)); failureShare > 0 && s.random.Float64() < failureShare {
+		s.schedule(now.Add(failureLatency), func(now time.Time) {
 			r.lost = true
-			p.policy.failed(now, e, r)
+			s.policy.failed(now, e, r)
 		})
 		return true
 	}
 	e.add(r)
-	if !e.busy {
-		e.busy = true
-		p.at(now, func(now time.Time) { p.step(now, e) })
+	if !e.stepping {
+		e.stepping = true
+		s.schedule(now, func(now time.Time) { s.step(now, e) })
 	}
 	return true
 }
 
-func (p *play) step(now time.Time, e *engine) {
+func (s *simulation) step(now time.Time, e *engine) {
 	if len(e.running) == 0 {
-		e.busy = false
+		e.stepping = false
 		return
 	}
-	before := make([]*job, 0, len(e.running))
+	awaitingFirst := make([]*job, 0, len(e.running))
 	for _, j := range e.running {
 		if j.events == 0 {
-			before = append(before, j)
+			awaitingFirst = append(awaitingFirst, j)
 		}
 	}
-	took, ended := e.step(now)
-	p.at(now.Add(took), func(now time.Time) {
-		for _, j := range before {
+	duration, ended := e.step(now)
+	s.schedule(now.Add(duration), func(now time.Time) {
+		for _, j := range awaitingFirst {
 			if j.events > 0 {
-				p.at(j.request.first, func(now time.Time) { p.policy.started(now, e, j.request) })
+				s.schedule(j.request.firstEventAt, func(now time.Time) { s.policy.started(now, e, j.request) })
 			}
 		}
 		for _, j := range ended {
-			p.at(later(now, j.request.first), func(now time.Time) { p.policy.ended(now, e, j.request) })
+			s.schedule(laterOf(now, j.request.firstEventAt), func(now time.Time) { s.policy.ended(now, e, j.request) })
 		}
-		p.step(now, e)
+		s.step(now, e)
 	})
 }
 
-// later keeps a stream's end behind its first event, which is on its way to the
-// gateway for longer than a short stream takes.
-func later(x, y time.Time) time.Time {
+// laterOf returns the later of two times. It keeps the end of a stream after its
+// first event, whose delay can exceed the duration of a short stream.
+func laterOf(x, y time.Time) time.Time {
 	if x.Before(y) {
 		return y
 	}
--- a/internal/trial/pattern/policy.go
+++ b/internal/trial/pattern/policy.go
@@ -6,45 +6,45 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// owner is the one gateway of a play.
-const owner = "gateway"
+// gatewayName is the only gateway of a simulation.
+const gatewayName = "gateway"
 
-// boardPolicy places requests by the product's board.
+// boardPolicy places requests with the board of the gateway's scheduler.
 type boardPolicy struct {
-	play     *play
-	board    *board.Board
-	requests map[string]*request
-	engines  map[string]*engine
-	startAt  map[string]time.Time
+	simulation *simulation
+	board      *board.Board
+	requests   map[string]*request
+	engines    map[string]*engine
+	startedAt  map[string]time.Time
 }
 
-// Board is the product's policy.
-func Board(p *play) Policy {
+// Board returns the policy that gateways use.
+func Board(s *simulation) Policy {
 	b := &boardPolicy{
-		play: p, board: board.New(), requests: make(map[string]*request),
-		engines: make(map[string]*engine), startAt: make(map[string]time.Time),
+		simulation: s, board: board.New(), requests: make(map[string]*request),
+		engines: make(map[string]*engine), startedAt: make(map[string]time.Time),
 	}
 	var upstreams []board.Upstream
-	for _, e := range p.engines {
+	for _, e := range s.engines {
 		b.engines[e.id] = e
-		upstreams = append(upstreams, board.Upstream{ID: e.id, Service: "tutor", Slots: e.slots, EventTokens: eventTokens})
+		upstreams = append(upstreams, board.Upstream{ID: e.id, Service: "tutor", Slots: e.slots, EventTokens: tokensPerEvent})
 	}
-	b.board.SetUpstreams(start, upstreams)
+	b.board.SetUpstreams(startTime, upstreams)
 	return b
 }
 
 func (b *boardPolicy) arrive(now time.Time, r *request) {
 	b.requests[r.id] = r
-	r.asked = now
+	r.submittedAt = now
 	b.board.Ask(now, board.Ask{
-		Owner: owner, ID: r.id, Service: "tutor", Tier: r.class.tier, Due: now.Add(r.class.objective),
+		Owner: gatewayName, ID: r.id, Service: "tutor", Tier: r.class.tier, Due: now.Add(r.class.firstEventTarget),
 		Fingerprint: r.fingerprint(),
-		Until:       r.arrived.Add(r.class.until), Prompt: r.prompt, Output: r.guess, MaxGap: r.class.maxGap,
+		Until:       r.arrivedAt.Add(r.class.timeout), Prompt: r.prompt, Output: r.outputEstimate, MaxGap: r.class.maxGap,
 	})
-	b.carryOut(now)
+	b.applyVerdicts(now)
 }
 
-func (b *boardPolicy) carryOut(now time.Time) {
+func (b *boardPolicy) applyVerdicts(now time.Time) {
 	for verdicts := b.board.Verdicts(); len(verdicts) > 0; verdicts = b.board.Verdicts() {
 		for _, v := range verdicts {
 			r := b.requests[v.ID]
@@ -55,80 +55,82 @@
 				b.refuse(now, r, v.RetryAfter)
 				continue
 			}
-			if !b.play.send(now, b.engines[v.Upstream], r) {
-				b.board.Ended(now, owner, r.id, board.End{Outcome: board.Unreached})
+			if !b.simulation.dispatch(now, b.engines[v.Upstream], r) {
+				b.board.Ended(now, gatewayName, r.id, board.End{Outcome: board.Unreached})
 				b.arrive(now, r)
 			}
 		}
 	}
 }
 
-// refuse lets the caller come back when it was told to.
+// refuse records a refusal and schedules the caller's retry.
 func (b *boardPolicy) refuse(now time.Time, r *request, retryAfter time.Duration) {
-	if at, returns := r.refuse(now, retryAfter); returns {
-		b.play.at(at, func(now time.Time) { b.arrive(now, r) })
+	if at, retries := r.refuse(now, retryAfter); retries {
+		b.simulation.schedule(at, func(now time.Time) { b.arrive(now, r) })
 	}
 }
 
 func (b *boardPolicy) started(now time.Time, e *engine, r *request) {
-	b.startAt[r.id] = now
-	b.board.Started(now, owner, r.id, e.load())
-	b.carryOut(now)
+	b.startedAt[r.id] = now
+	b.board.Started(now, gatewayName, r.id, e.load())
+	b.applyVerdicts(now)
 }
 
 func (b *boardPolicy) ended(now time.Time, _ *engine, r *request) {
-	events := 1 + r.output/eventTokens
-	b.board.Ended(now, owner, r.id, board.End{
-		Outcome: board.Answered, Stream: now.Sub(b.startAt[r.id]), Tokens: (events - 1) * eventTokens,
+	events := 1 + r.output/tokensPerEvent
+	b.board.Ended(now, gatewayName, r.id, board.End{
+		Outcome: board.Answered, Stream: now.Sub(b.startedAt[r.id]), Tokens: (events - 1) * tokensPerEvent,
 	})
-	b.carryOut(now)
+	b.applyVerdicts(now)
 }
 
 func (b *boardPolicy) lost(now time.Time, _ *engine, r *request) {
-	b.board.Ended(now, owner, r.id, board.End{Outcome: board.Broken})
-	b.carryOut(now)
+	b.board.Ended(now, gatewayName, r.id, board.End{Outcome: board.Broken})
+	b.applyVerdicts(now)
 }
 
 func (b *boardPolicy) failed(now time.Time, _ *engine, r *request) {
-	b.board.Ended(now, owner, r.id, board.End{Outcome: board.Failed})
-	b.carryOut(now)
+	b.board.Ended(now, gatewayName, r.id, board.End{Outcome: board.Failed})
+	b.applyVerdicts(now)
 }
 
 func (b *boardPolicy) tick(now time.Time) {
 	b.board.Tick(now)
-	b.carryOut(now)
+	b.applyVerdicts(now)
 }
 
-// fewest sends each request at once to the engine that has the fewest, which
-// is what a plain forwarder does. Engines queue what they cannot run.
-type fewest struct{ play *play }
+// leastLoaded forwards each request at once to the engine with the fewest
+// requests, as a plain load balancer does. Engines queue what they cannot run.
+type leastLoaded struct{ simulation *simulation }
 
-// Fewest is the baseline.
-func Fewest(p *play) Policy { return &fewest{play: p} }
+// Fewest returns the baseline policy, which forwards to the engine with the
+// fewest requests.
+func Fewest(s *simulation) Policy { return &leastLoaded{simulation: s} }
 
-// fewestRetry is what a plain forwarder tells a refused caller.
-const fewestRetry = time.Second
+// leastLoadedRetryAfter is the delay after which refused callers retry.
+const leastLoadedRetryAfter = time.Second
 
-// engineQueue is how many requests an engine queues before it refuses.
-const engineQueue = 72
+// maxEngineQueue is the number of requests that an engine queues before it
+// refuses more.
+const maxEngineQueue = 72
 
-func (f *fewest) arrive(now time.Time, r *request) {
-	var best *engine
-	for _, e := range f.play.engines {
-		if !e.down && (best == nil || e.load() < best.load()) {
-			best = e
+func (l *leastLoaded) arrive(now time.Time, r *request) {
+	var target *engine
+	for _, e := range l.simulation.engines {
+		if !e.down && (target == nil || e.load() < target.load()) {
+			target = e
 		}
 	}
-	r.asked = now
-	if best == nil || best.load() >= best.slots+engineQueue || !f.play.send(now, best, r) {
-		if at, returns := r.refuse(now, fewestRetry); returns {
-			f.play.at(at, func(now time.Time) { f.arrive(now, r) })
+	r.submittedAt = now
+	if target == nil || target.load() >= target.slots+maxEngineQueue || !l.simulation.dispatch(now, target, r) {
+		if at, retries := r.refuse(now, leastLoadedRetryAfter); retries {
+			l.simulation.schedule(at, func(now time.Time) { l.arrive(now, r) })
 		}
 	}
 }
 
-func (f *fewest) started(time.Time, *engine, *request) {}
-func (f *fewest) ended(time.Time, *engine, *request)   {}
-func (f *fewest) lost(time.Time, *engine, *request)    {}
-func (f *fewest) failed(time.Time, *engine, *request)  {}
-func (f *fewest) tick(time.Time)                       {}
+func (l *leastLoaded) started(time.Time, *engine, *request) {}
+func (l *leastLoaded) ended(time.Time, *engine, *request)   {}
+func (l *leastLoaded) lost(time.Time, *engine, *request)    {}
+func (l *leastLoaded) failed(time.Time, *engine, *request)  {}
+func (l *leastLoaded) tick(time.Time)                       {}
--- a/internal/trial/pattern/result.go
+++ b/internal/trial/pattern/result.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// window is the span whose worst is told.
-const window = 2 * time.Second
+// windowLength is the length of the windows whose value is reported separately.
+const windowLength = 2 * time.Second
 
-// Tier is what became of one tier's requests.
-type Tier struct {
-	Asked, InTime, Late, Refused, Lost int
-	// Held is how long refused requests waited in vain, in all.
+// TierResult counts the outcomes of one tier's requests.
+type TierResult struct {
+	Requests, InTime, Late, Refused, Lost int
+	// Held is the total time that requests waited for a slot before they were
+	// refused.
 	Held time.Duration
-	// LongAsked and LongServed are of the largest tenth by work.
-	LongAsked, LongServed int
+	// LargeRequests and LargeServed count the largest tenth by tokens.
+	LargeRequests, LargeServed int
 }
 
-// InTimeShare returns the part that was in time.
-func (t Tier) InTimeShare() float64 { return float64(t.InTime) / float64(max(1, t.Asked)) }
+// InTimeShare returns the share of the requests that were answered in time.
+func (t TierResult) InTimeShare() float64 { return float64(t.InTime) / float64(max(1, t.Requests)) }
 
-// Result is what became of a pattern's requests.
+// Result summarizes the requests of a simulation.
 type Result struct {
 	Pattern string
-	Tiers   [3]Tier
-	// Worth is the part of what all answers in time would be worth; Worst is
-	// that of the worst two seconds.
+	Tiers   [3]TierResult
+	// Worth is the earned value as a share of what would be earned if all
+	// requests were answered in time; Worst is the share of the worst window.
 	Worth, Worst float64
-	// Windows are the parts of each two seconds.
-	Windows []float64
+	// WindowShares are the shares of the windows, in order of time.
+	WindowShares []float64
 }
 
 func summarize(p Pattern, requests []*request) Result {
 	result := Result{Pattern: p.Name, Worst: 1}
-	earned, owed := make([]float64, p.Length/window+1), make([]float64, p.Length/window+1)
-	longest := longestTenth(requests)
+	earned, possible := make([]float64, p.Duration/windowLength+1), make([]float64, p.Duration/windowLength+1)
+	largest := largestTenth(requests)
 	for _, r := range requests {
 		tier := &result.Tiers[r.class.tier]
-		at := int(r.arrived.Sub(start) / window)
-		worth, got := r.worth()
-		owed[at] += worth
-		earned[at] += got
-		tier.Asked++
-		tier.Held += r.held
-		if longest[r] {
-			tier.LongAsked++
+		index := int(r.arrivedAt.Sub(startTime) / windowLength)
+		value, earnedValue := r.value()
+		possible[index] += value
+		earned[index] += earnedValue
+		tier.Requests++
+		tier.Held += r.waitBeforeRefusal
+		if largest[r] {
+			tier.LargeRequests++
 			if r.served() {
-				tier.LongServed++
+				tier.LargeServed++
 			}
 		}
 		switch {
@@ -57,62 +58,63 @@
 			tier.Refused++
 		}
 	}
-	total, all := 0.0, 0.0
-	for i := range owed {
-		total, all = total+earned[i], all+owed[i]
-		if owed[i] > 0 {
-			result.Windows = append(result.Windows, earned[i]/owed[i])
-			result.Worst = min(result.Worst, earned[i]/owed[i])
+	totalEarned, totalPossible := 0.0, 0.0
+	for i := range possible {
+		totalEarned, totalPossible = totalEarned+earned[i], totalPossible+possible[i]
+		if possible[i] > 0 {
+			result.WindowShares = append(result.WindowShares, earned[i]/possible[i])
+			result.Worst = min(result.Worst, earned[i]/possible[i])
 		}
 	}
-	result.Worth = total / all
+	result.Worth = totalEarned / totalPossible
 	return result
 }
 
-// longestTenth finds the largest tenth of each class by prompt and output.
-func longestTenth(requests []*request) map[*request]bool {
-	longest := make(map[*request]bool)
+// largestTenth returns the largest tenth of each class by prompt and output
+// size.
+func largestTenth(requests []*request) map[*request]bool {
+	largest := make(map[*request]bool)
 	for i := range classes {
-		var own []*request
+		var ofClass []*request
 		for _, r := range requests {
 			if r.class == &classes[i] {
-				own = append(own, r)
+				ofClass = append(ofClass, r)
 			}
 		}
-		for n := len(own) / 10; n > 0; n-- {
-			var most *request
-			for _, r := range own {
-				if !longest[r] && (most == nil || r.prompt+10*r.output > most.prompt+10*most.output) {
-					most = r
+		for n := len(ofClass) / 10; n > 0; n-- {
+			var next *request
+			for _, r := range ofClass {
+				if !largest[r] && (next == nil || r.prompt+10*r.output > next.prompt+10*next.output) {
+					next = r
 				}
 			}
-			longest[most] = true
+			largest[next] = true
 		}
 	}
-	return longest
+	return largest
 }
 
-// Mean plays the pattern with each seed. Counts are summed, shares averaged.
+// Mean simulates the pattern with each seed. Counts are summed, shares averaged.
 func Mean(p Pattern, seeds []uint64, policy NewPolicy) Result {
 	mean := Result{Pattern: p.Name}
 	for _, seed := range seeds {
-		one := Play(p, seed, policy)
-		mean.Worth += one.Worth / float64(len(seeds))
-		mean.Worst += one.Worst / float64(len(seeds))
-		for i, tier := range one.Tiers {
+		result := Simulate(p, seed, policy)
+		mean.Worth += result.Worth / float64(len(seeds))
+		mean.Worst += result.Worst / float64(len(seeds))
+		for i, tier := range result.Tiers {
 			mean.Tiers[i].add(tier)
 		}
 	}
 	return mean
 }
 
-func (t *Tier) add(other Tier) {
-	t.Asked += other.Asked
+func (t *TierResult) add(other TierResult) {
+	t.Requests += other.Requests
 	t.InTime += other.InTime
 	t.Late += other.Late
 	t.Refused += other.Refused
 	t.Held += other.Held
 	t.Lost += other.Lost
-	t.LongAsked += other.LongAsked
-	t.LongServed += other.LongServed
+	t.LargeRequests += other.LargeRequests
+	t.LargeServed += other.LargeServed
 }
