--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -25,50 +25,53 @@
 )
 
 const (
-	id       = "X-Persimmonridge-Attempt-Id"
-	seal     = "X-Persimmonridge-Response-Seal"
-	gateways = 3
-	engines  = 4
-	slots    = 2
-	// longPath is called for a stream that is much longer than the others.
+	attemptIDHeader = "X-Persimmonridge-Attempt-Id"
+	sealHeader      = "X-Persimmonridge-Response-Seal"
+	gateways        = 3
+	engines         = 4
+	slots           = 2
+	// longPath is the path of a stream of longEvents events; others have three.
 	longPath   = "/old/long"
 	longEvents = 60
 )
 
-// fleet is gateways, engines and a store on a network in memory.
+// fleet is a set of gateways and engines and a store on an in-memory network.
 type fleet struct {
-	t       *testing.T
-	network *network.Network
-	store   *standin.Store
-	cancel  []context.CancelFunc
-	stopped []*sync.Once
-	done    []chan error
-	servers []*http.Server
-
-	mu   sync.Mutex
-	most map[string]int
-	load map[string]int
+	t        *testing.T
+	network  *network.Network
+	store    *standin.Store
+	cancels  []context.CancelFunc
+	stopOnce []*sync.Once
+	exits    []chan error
+	servers  []*http.Server
+
+	mu sync.Mutex
+	// peakLoad and running hold, by engine, the largest and the present number of
+	// running requests.
+	peakLoad map[string]int
+	running  map[string]int
 }
 
-// storeAt is one gateway's way to the store, so that it can be cut alone.
-func storeAt(i int) string   { return fmt.Sprintf("10.0.9.%d:80", i+1) }
-func callersAt(i int) string { return fmt.Sprintf("10.0.0.%d:80", i+1) }
-func linksAt(i int) string   { return fmt.Sprintf("10.0.0.%d:81", i+1) }
-func engineAt(i int) string  { return fmt.Sprintf("10.0.1.%d:80", i+1) }
+// storeAddress returns the store's address for one gateway; each has its own, so that
+// one gateway can be cut off from the store.
+func storeAddress(i int) string  { return fmt.Sprintf("10.0.9.%d:80", i+1) }
+func callerAddress(i int) string { return fmt.Sprintf("10.0.0.%d:80", i+1) }
+func linkAddress(i int) string   { return fmt.Sprintf("10.0.0.%d:81", i+1) }
+func engineAddress(i int) string { return fmt.Sprintf("10.0.1.%d:80", i+1) }
 
-// play runs the script on a fleet in fake time.
-func play(t *testing.T, script func(f *fleet)) {
+// runFleet starts a fleet in fake time, runs the script and stops the fleet.
+func runFleet(t *testing.T, script func(f *fleet)) {
 	bubble.Run(t, func(t *testing.T) {
-		f := &fleet{t: t, network: network.New(), store: standin.NewStore(), most: map[string]int{}, load: map[string]int{}}
+		f := &fleet{t: t, network: network.New(), store: standin.NewStore(), peakLoad: map[string]int{}, running: map[string]int{}}
 		for i := range gateways {
-			f.serve(storeAt(i), f.store)
+			f.serve(storeAddress(i), f.store)
 		}
 		for i := range engines {
-			f.serve(engineAt(i), f.engine(engineAt(i)))
+			f.serve(engineAddress(i), f.engine(engineAddress(i)))
 			f.store.Put("servers/engine-"+strconv.Itoa(i), fmt.Sprintf(
-				`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"ready"}`, engineAt(i), slots))
+				`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"ready"}`, engineAddress(i), slots))
 		}
-		f.configure(1, "/old/")
+		f.putConfig(1, "/old/")
 		for i := range gateways {
 			f.start(i)
 		}
@@ -83,29 +86,29 @@
 	})
 }
 
-func (f *fleet) serve(at string, handler http.Handler) {
-	listener, err := f.network.Listen(at)
+func (f *fleet) serve(address string, handler http.Handler) {
+	listener, err := f.network.Listen(address)
 	require.NoError(f.t, err)
 	server := &http.Server{Handler: handler}
 	f.servers = append(f.servers, server)
 	go func() { _ = server.Serve(listener) }()
 }
 
-// engine streams three events a tenth of a second apart, or more of them, and
-// counts what it runs.
+// engine returns a handler that streams events a tenth of a second apart and counts
+// its running requests.
 func (f *fleet) engine(name string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.mu.Lock()
-		f.load[name]++
-		f.most[name] = max(f.most[name], f.load[name])
+		f.running[name]++
+		f.peakLoad[name] = max(f.peakLoad[name], f.running[name])
 		f.mu.Unlock()
 		defer func() {
 			f.mu.Lock()
-			f.load[name]--
+			f.running[name]--
 			f.mu.Unlock()
 		}()
-		w.Header().Set(id, r.Header.Get(id))
-		w.Header().Set(seal, "s")
+		w.Header().Set(attemptIDHeader, r.Header.Get(attemptIDHeader))
+		w.Header().Set(sealHeader, "s")
 		events := 3
 		if r.URL.Path == longPath {
 			events = longEvents
@@ -120,7 +123,7 @@
 	})
 }
 
-func (f *fleet) configure(version int, prefix string) {
+func (f *fleet) putConfig(version int, prefix string) {
 	f.store.Put("op/config", fmt.Sprintf(`{"version":%d,
 		"routes":[{"name":"r","hostname":"h","prefix":%q,"kind":"streaming","timeoutMs":15000,"targetLatencyMs":600,
 			"service":"tutor","maxAttempts":2,"streamResume":true,"gapAimMs":250}],
@@ -131,62 +134,61 @@
 
 func (f *fleet) start(i int) {
 	ctx, cancel := context.WithCancel(f.t.Context())
-	f.cancel = append(f.cancel, cancel)
-	f.stopped = append(f.stopped, &sync.Once{})
-	f.done = append(f.done, make(chan error, 1))
+	f.cancels = append(f.cancels, cancel)
+	f.stopOnce = append(f.stopOnce, &sync.Once{})
+	f.exits = append(f.exits, make(chan error, 1))
 	settings := gateway.Settings{
-		Name: "gateway-" + strconv.Itoa(i), Domain: "a", Callers: callersAt(i), Links: linksAt(i),
+		Name: "gateway-" + strconv.Itoa(i), Domain: "a", Callers: callerAddress(i), Links: linkAddress(i),
 		Readiness: fmt.Sprintf("10.0.0.%d:82", i+1), Metrics: fmt.Sprintf("10.0.0.%d:83", i+1),
 		Grace: 8 * time.Second, Apply: 2 * time.Second, Quota: quota.Options{Full: true},
 		Retry:     retry.Settings{Share: 0.2, Slack: 50, Window: 10 * time.Second},
 		ConfigKey: platform.ConfigPrefix, UpstreamPrefix: platform.UpstreamPrefix, OrderPrefix: platform.RolloutPrefix,
 	}
 	g := gateway.New(gateway.Parts{
-		Settings: settings, Store: platform.NewStore(storeAt(i), f.network.DialContext), Decoder: platform.Decoder{},
+		Settings: settings, Store: platform.NewStore(storeAddress(i), f.network.DialContext), Decoder: platform.Decoder{},
 		Translator: platform.Headers{}, Names: platform.AnswerNames(), Dialer: f.network,
-		Listen: func(_, at string) (net.Listener, error) { return f.network.Listen(at) },
+		Listen: func(_, address string) (net.Listener, error) { return f.network.Listen(address) },
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
-	go func() { f.done[i] <- g.Run(ctx) }()
+	go func() { f.exits[i] <- g.Run(ctx) }()
 }
 
-// stop ends a gateway in order and waits for its end; a test may have begun it
-// beside itself.
+// stop stops a gateway gracefully and waits for its end. Further calls, as runFleet
+// makes after the script, only wait.
 func (f *fleet) stop(i int) {
-	f.stopped[i].Do(func() {
-		f.cancel[i]()
-		require.NoError(f.t, <-f.done[i])
+	f.stopOnce[i].Do(func() {
+		f.cancels[i]()
+		require.NoError(f.t, <-f.exits[i])
 	})
 }
 
-// outcome is what a caller saw.
+// outcome is the result of a call as its caller sees it.
 type outcome struct {
 	status int
 	body   string
 	err    error
 	took   time.Duration
-	// retryAfter is the header as sent.
+	// retryAfter is the Retry-After header.
 	retryAfter string
 }
 
-func (f *fleet) call(i int, path, request string) outcome {
-	return f.callFor(i, path, request, "1000,100", "18")
+func (f *fleet) call(i int, path, attemptID string) outcome {
+	return f.callFor(i, path, attemptID, "1000,100", "18")
 }
 
-// callFor calls a gateway for a generation of the given tokens and guessed
-// length.
-func (f *fleet) callFor(i int, path, request, tokens, hint string) outcome {
+// callFor calls a gateway with the given token counts and length hint.
+func (f *fleet) callFor(i int, path, attemptID, tokenCounts, lengthHint string) outcome {
 	client := &http.Client{Transport: &http.Transport{DialContext: f.network.DialContext, DisableKeepAlives: true}}
-	r, err := http.NewRequest(http.MethodPost, "http://"+callersAt(i)+path, strings.NewReader("body"))
+	r, err := http.NewRequest(http.MethodPost, "http://"+callerAddress(i)+path, strings.NewReader("body"))
 	require.NoError(f.t, err)
 	r.Host = "h"
 	for name, value := range map[string]string{
-		id: request, "Api-Key": "key", "X-Persimmonridge-Deadline-Ms": "15000",
-		"X-Persimmonridge-Token-Counts": tokens, "X-Persimmonridge-Length-Hint": hint,
+		attemptIDHeader: attemptID, "Api-Key": "key", "X-Persimmonridge-Deadline-Ms": "15000",
+		"X-Persimmonridge-Token-Counts": tokenCounts, "X-Persimmonridge-Length-Hint": lengthHint,
 	} {
 		r.Header.Set(name, value)
 	}
-	begun := time.Now()
+	start := time.Now()
 	response, err := client.Do(r)
 	if err != nil {
 		return outcome{err: err}
@@ -194,13 +196,13 @@
 	body, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	return outcome{
-		status: response.StatusCode, body: string(body), err: err, took: time.Since(begun),
+		status: response.StatusCode, body: string(body), err: err, took: time.Since(start),
 		retryAfter: response.Header.Get("Retry-After"),
 	}
 }
 
-// calls makes calls at once, spread over the gateways, and returns them.
-func (f *fleet) calls(count int, path string) []outcome {
+// callAll makes concurrent calls, spread over the gateways, and returns their outcomes.
+func (f *fleet) callAll(count int, path string) []outcome {
 	outcomes := make([]outcome, count)
 	var wg sync.WaitGroup
 	for i := range count {
@@ -220,25 +222,25 @@
 	return string(text)
 }
 
-// scheduler returns the gateway that gives out places.
+// scheduler returns the gateway that grants engine slots.
 func (f *fleet) scheduler() int {
 	for i := range gateways {
 		if strings.Contains(f.metrics(i), "persimmonridge_schedules 1") {
 			return i
 		}
 	}
-	require.Fail(f.t, "nobody schedules")
+	require.Fail(f.t, "no gateway is the scheduler")
 	return 0
 }
 
-// warmUp lets the scheduler learn how fast the engines are.
+// warmUp makes calls from which the scheduler learns the engines' speeds.
 func (f *fleet) warmUp() {
 	for range 4 {
-		require.Equal(f.t, engines*slots, served(f.calls(engines*slots, "/old/x")))
+		require.Equal(f.t, engines*slots, countServed(f.callAll(engines*slots, "/old/x")))
 	}
 }
 
-func served(outcomes []outcome) int {
+func countServed(outcomes []outcome) int {
 	n := 0
 	for _, o := range outcomes {
 		if o.status == http.StatusOK && o.err == nil {
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway wires the process on an edge VM: callers on one side,
-// upstreams on the other, the store and its peers beside it.
+// Package gateway implements the process that runs on an edge VM. It proxies
+// callers' requests to upstreams, follows the configuration and the upstreams in
+// the store, and schedules the engines together with the other gateways.
 package gateway
 
 import (
@@ -37,49 +38,54 @@
 )
 
 const (
-	// storePauseLeast, storePausePerPeer and storePauseMost bound the time between
-	// two looks at the store. Upstreams' heartbeats change keys many times a
-	// second, and a leaving one, like a new configuration, must be seen within
-	// two seconds, also by a gateway that hears no peer. The more gateways look,
-	// the sooner one of them sees a change, and tells the others.
-	storePauseLeast   = 500 * time.Millisecond
-	storePausePerPeer = 30 * time.Millisecond
-	storePauseMost    = 1200 * time.Millisecond
-	// storePauseTold is the pause, as a part of the time in which a configuration
-	// must be in force, of a gateway that hears several which look more often. It
-	// keeps to that time also if none of them tells it.
-	storePauseTold = 0.7
-	// sweepEvery is how often idle connections and lapsed upstreams are looked at.
-	sweepEvery = 250 * time.Millisecond
-	// stopMargin is kept between the end of what runs and the forced end.
+	// The pause between two watches of the store is minStorePollPause plus
+	// storePollPausePerPeer for each known peer, up to maxStorePollPause. Upstream
+	// heartbeats change keys many times a second, so watching without a pause would
+	// cost a call for each. A draining upstream and a new configuration must be
+	// seen within two seconds even by a gateway that receives no gossip. The more
+	// gateways poll, the sooner one of them sees a change and gossips it.
+	minStorePollPause     = 500 * time.Millisecond
+	storePollPausePerPeer = 30 * time.Millisecond
+	maxStorePollPause     = 1200 * time.Millisecond
+	// peerInformedPauseShare is the pause, as a share of Settings.Apply, of a
+	// gateway that receives gossip from several peers which poll more often. It
+	// still applies a configuration in time if none of them reports it.
+	peerInformedPauseShare = 0.7
+	// sweepInterval is how often idle connections and expired upstreams are
+	// dropped.
+	sweepInterval = 250 * time.Millisecond
+	// stopMargin is left between the deadline for running requests and the end of
+	// the grace period, when the platform kills the process.
 	stopMargin = 700 * time.Millisecond
 )
 
-// Decoder reads what the store holds.
+// Decoder decodes and encodes the values in the store.
 type Decoder interface {
 	Config(raw []byte) (*catalog.Catalog, error)
 	Upstream(key string, raw []byte, revision int64) (roster.Upstream, error)
-	// UpstreamID returns the id that a key names.
+	// UpstreamID returns the upstream ID in a registration's key.
 	UpstreamID(key string) string
-	// Order decodes an order to move a service to another version.
+	// Order decodes an operator's order to roll out another version of a service.
 	Order(key string, raw []byte, revision int64) (rollout.Order, error)
-	// Status encodes what operators are told of a move.
+	// Status encodes the status of a rollout that operators read.
 	Status(service string, s rollout.State) (key string, value []byte, err error)
 }
 
-// Settings are what the process is told at its start.
+// Settings configure a gateway.
 type Settings struct {
 	Name, Domain                       string
 	Callers, Readiness, Links, Metrics string
 	Seeds                              []string
 	Grace                              time.Duration
-	// Processor is what the process may use of one core; 0 tells nothing.
+	// Processor is the share of one CPU core that the process may use; 0 means
+	// unknown.
 	Processor                 float64
 	Retry                     retry.Settings
 	ConfigKey, UpstreamPrefix string
 	OrderPrefix               string
 	Quota                     quota.Options
-	// Apply is how long a configuration may take to be in force.
+	// Apply is the longest time from the store's acknowledgment of a configuration
+	// until every gateway uses it.
 	Apply time.Duration
 }
 
@@ -88,7 +94,7 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Parts are what a gateway works with.
+// Parts are the dependencies of a gateway.
 type Parts struct {
 	Settings   Settings
 	Store      kv.Store
@@ -99,108 +105,113 @@
 	// Listen opens a listener.
 	Listen func(network, address string) (net.Listener, error)
 	Logger *slog.Logger
-	// LeftOut tells how many lines the log left out; it may be nil.
+	// LeftOut returns how many log lines were omitted by sampling and by a full
+	// output buffer; it may be nil.
 	LeftOut func() (sampled, dropped int64)
 	Now     func() time.Time
 }
 
-// Gateway is the running process.
+// Gateway is one gateway process.
 type Gateway struct {
 	settings Settings
-	// grace is the time to stop, which may change while the process runs.
-	grace   atomic.Int64
-	store   kv.Store
-	decoder Decoder
-	leftOut func() (sampled, dropped int64)
-	retries *retry.Budget
-	listen  func(network, address string) (net.Listener, error)
-	logger  *slog.Logger
-	now     func() time.Time
+	// grace is the grace period for a stop, in nanoseconds; Reload may change it.
+	grace           atomic.Int64
+	store           kv.Store
+	decoder         Decoder
+	omittedLogLines func() (sampled, dropped int64)
+	retryBudget     *retry.Budget
+	listen          func(network, address string) (net.Listener, error)
+	logger          *slog.Logger
+	now             func() time.Time
 
-	run   uint64
-	began time.Time
-	// configuring is held while a configuration is put in force.
-	configuring sync.Mutex
-	// listing is held while the list of engines is read and told.
-	listing       sync.Mutex
-	catalog       atomic.Pointer[catalog.Catalog]
-	rawConfig     atomic.Pointer[[]byte]
-	roster        *roster.Roster
-	upstreams     *upstreamView
-	pool          *exchange.Pool
-	quota         *quota.Keeper
-	ledger        *quota.Ledger
-	crashRegister *crash.Register
-	peers         *peers
-	mesh          *mesh.Mesh
-	granter       *granter.Granter
-	permits       *permit.Client
-	rollouts      *rollout.Picker
-	moves         *moves
-	speeds        *speeds
-	follower      *follow.Follower
-	// changed is the revision of the last change in the store that was acted on.
-	changed atomic.Int64
-	metrics *metrics
-	ingress *ingress.Server
-	stop    atomic.Pointer[stopTimes]
+	runID     uint64
+	startedAt time.Time
+	// configMu is held while a configuration is activated.
+	configMu sync.Mutex
+	// enginesMu is held while the engine list is read and passed to the granter.
+	enginesMu         sync.Mutex
+	catalog           atomic.Pointer[catalog.Catalog]
+	rawConfig         atomic.Pointer[[]byte]
+	roster            *roster.Roster
+	upstreams         *upstreamView
+	pool              *exchange.Pool
+	quota             *quota.Keeper
+	ledger            *quota.Ledger
+	crashRegister     *crash.Register
+	peers             *peers
+	mesh              *mesh.Mesh
+	granter           *granter.Granter
+	permits           *permit.Client
+	versionPicker     *rollout.Picker
+	rolloutController *rolloutController
+	speedStore        *speedStore
+	follower          *follow.Follower
+	// lastChange is the store revision of the latest change that was applied,
+	// heartbeats excluded.
+	lastChange atomic.Int64
+	metrics    *metrics
+	ingress    *ingress.Server
+	stop       atomic.Pointer[stopWindow]
 
-	// leftOutTold and the counts are those of the last line about the log.
-	leftOutTold              time.Time
-	sampledTold, droppedTold int64
+	// omittedLoggedAt is when omitted log lines were last checked, sampledLogged
+	// and droppedLogged are the totals that were last reported.
+	omittedLoggedAt              time.Time
+	sampledLogged, droppedLogged int64
 }
 
-// stopTimes are when a stop began and when it ends.
-type stopTimes struct{ since, until time.Time }
+// stopWindow is the time from the start of a stop to the deadline for running
+// requests.
+type stopWindow struct{ start, end time.Time }
 
-// stopping tells whether the process was told to stop.
+// stopping reports whether a stop has begun.
 func (g *Gateway) stopping() bool { return g.stop.Load() != nil }
 
-func (g *Gateway) leaving() (since, until time.Time, leaving bool) {
-	t := g.stop.Load()
-	if t == nil {
+// stopTimes returns the window of the stop that has begun, if any.
+func (g *Gateway) stopTimes() (start, end time.Time, stopping bool) {
+	window := g.stop.Load()
+	if window == nil {
 		return time.Time{}, time.Time{}, false
 	}
-	return t.since, t.until, true
+	return window.start, window.end, true
 }
 
-// New returns a gateway; Run starts it.
+// New returns a gateway that has not been started.
 func New(parts Parts) *Gateway {
 	s, now, logger := parts.Settings, parts.Now, parts.Logger
 	g := &Gateway{
 		settings: s, decoder: parts.Decoder, listen: parts.Listen, logger: logger, now: now,
-		// A later process on the same VM has a later start.
-		run: uint64(now().UnixNano()), began: now(),
+		// The start time distinguishes successive processes on one VM.
+		runID: uint64(now().UnixNano()), startedAt: now(),
 		roster: roster.New(), ledger: quota.NewLedger(), metrics: newMetrics(),
 		pool: exchange.NewPool(parts.Dialer.DialContext),
 	}
 	g.grace.Store(int64(s.Grace))
 	g.store = meter.New(parts.Store, g.metrics.StoreCall)
-	g.leftOut = parts.LeftOut
-	g.retries = retry.New(s.Retry, func() int { return g.peers.processes() })
+	g.omittedLogLines = parts.LeftOut
+	g.retryBudget = retry.New(s.Retry, func() int { return g.peers.gatewayCount() })
 	g.upstreams = newUpstreamView(g)
-	g.peers = &peers{Gateway: g, rank: unranked, answering: make(map[string]time.Time)}
-	g.quota = quota.New(s.Quota, g.peers.processes)
-	g.crashRegister = crash.New(g.peers.crashed)
-	g.mesh = mesh.New(s.Name, s.Links, g.run, parts.Dialer, g.peers, logger, now)
-	g.peers.hub = g.mesh.Hub
-	g.granter = granter.New(now, g.peers.deliver, logger)
+	g.peers = &peers{Gateway: g, rank: unranked, storeReachedAt: make(map[string]time.Time)}
+	g.quota = quota.New(s.Quota, g.peers.gatewayCount)
+	g.crashRegister = crash.New(g.peers.recordCrash)
+	g.mesh = mesh.New(s.Name, s.Links, g.runID, parts.Dialer, g.peers, logger, now)
+	g.peers.isHub = g.mesh.Hub
+	g.granter = granter.New(now, g.peers.deliverVerdict, logger)
 	g.permits = permit.New(permit.Parts{
 		Node: s.Name, Domain: s.Domain, Scheduler: g.peers.scheduler, Send: g.mesh.Send,
 		Own:   func(now time.Time, e *wire.Envelope) { permit.Serve(now, g.granter, s.Name, e) },
-		Local: local.New(s.Domain, g.roster.Ready, g.peers.processes), Upstream: g.roster.Get,
+		Local: local.New(s.Domain, g.roster.Ready, g.peers.gatewayCount), Upstream: g.roster.Get,
 		Service: g.service, Metrics: g.metrics, Logger: logger, Now: now,
 	})
-	g.rollouts = rollout.NewPicker(g.permits)
-	g.moves = newMoves(g)
-	g.speeds = &speeds{Gateway: g}
+	g.versionPicker = rollout.NewPicker(g.permits)
+	g.rolloutController = newRolloutController(g)
+	g.speedStore = &speedStore{Gateway: g}
 	g.follower = g.newFollower()
-	g.metrics.watch(g)
+	g.metrics.registerGauges(g)
 	requests := flow.New(flow.Parts{
 		Translator: parts.Translator, Client: exchange.NewClient(g.pool, parts.Names, now), Catalog: g.catalog.Load,
-		Picker: g.rollouts, Quota: g.quota, Retries: g.retries, Crashes: g.crashRegister,
-		Metrics: g.metrics, Logger: logger, Now: now, Leaving: g.leaving,
-		Elsewhere: func() bool { return g.peers.othersTake(now()) },
+		Picker: g.versionPicker, Quota: g.quota, Retries: g.retryBudget, Crashes: g.crashRegister,
+		Metrics: g.metrics, Logger: logger, Now: now, Leaving: g.stopTimes,
+		Elsewhere: func() bool { return g.peers.otherAcceptsRequests(now()) },
 	})
 	g.ingress = ingress.New(ingress.Parts{
 		Handler: requests, Catalog: g.catalog.Load, Metrics: g.metrics, Logger: logger, Now: now,
@@ -216,7 +227,7 @@
 	return c.Service(name)
 }
 
-// Run serves until the context ends, then stops in order.
+// Run serves until the context ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	callers, err := g.listen("tcp", g.settings.Callers)
 	if err != nil {
@@ -231,20 +242,20 @@
 		return err
 	}
 	server := link.Serve(links, g.mesh.Serve)
-	for _, seed := range g.settings.Seeds {
-		g.mesh.Know(g.now(), seed)
+	for _, address := range g.settings.Seeds {
+		g.mesh.Know(g.now(), address)
 	}
 	group.Go(func() error { return g.mesh.Run(background) })
 	group.Go(func() error { return g.granter.Run(background) })
 	group.Go(func() error { return g.peers.reportQuota(background) })
-	group.Go(func() error { return g.moves.run(background) })
-	group.Go(func() error { return g.speeds.run(background) })
-	group.Go(func() error { return (&standby{Gateway: g}).run(background) })
-	group.Go(func() error { return g.tellHeld(background) })
+	group.Go(func() error { return g.rolloutController.run(background) })
+	group.Go(func() error { return g.speedStore.run(background) })
+	group.Go(func() error { return (&standbySync{Gateway: g}).run(background) })
+	group.Go(func() error { return g.reportHeldSlots(background) })
 	group.Go(func() error { return g.peers.register(background) })
 	group.Go(func() error { return g.follower.Run(background) })
 	group.Go(func() error { return g.sweep(background) })
-	group.Go(func() error { return g.serveHTTP(background, g.settings.Readiness, http.HandlerFunc(g.ready)) })
+	group.Go(func() error { return g.serveHTTP(background, g.settings.Readiness, http.HandlerFunc(g.serveReadiness)) })
 	group.Go(func() error { return g.serveHTTP(background, g.settings.Metrics, g.metrics.handler()) })
 	group.Go(func() error { return g.ingress.Serve(callers) })
 	group.Go(func() error {
@@ -261,12 +272,13 @@
 	return errors.Join(err, server.Close(), g.pool.Close())
 }
 
+// drain announces the stop to peers and waits for running requests.
 func (g *Gateway) drain() error {
 	grace := time.Duration(g.grace.Load())
 	g.logger.Info("stopping", "grace", grace)
 	now := g.now()
-	g.stop.Store(&stopTimes{since: now, until: now.Add(grace - stopMargin)})
-	g.peers.forgetChoice()
+	g.stop.Store(&stopWindow{start: now, end: now.Add(grace - stopMargin)})
+	g.peers.invalidateScheduler()
 	g.mesh.Farewell()
 	ctx, cancel := context.WithTimeout(context.Background(), grace-stopMargin)
 	defer cancel()
@@ -275,7 +287,7 @@
 	return err
 }
 
-func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if g.stopping() || g.catalog.Load() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -297,8 +309,10 @@
 	return nil
 }
 
+// sweep drops idle connections and expired upstreams until the context ends, and logs
+// omitted log lines.
 func (g *Gateway) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -307,16 +321,16 @@
 		case <-ticker.C:
 			now := g.now()
 			g.pool.Sweep(now)
-			g.tellLeftOut(now)
+			g.logOmittedLines(now)
 			if g.roster.Expire(now) {
-				g.logger.Info("upstreams that lapsed did not come back")
-				g.upstreamsChanged()
+				g.logger.Info("expired upstreams dropped")
+				g.publishEngines()
 			}
 		}
 	}
 }
 
-func (g *Gateway) tellHeld(ctx context.Context) error {
+func (g *Gateway) reportHeldSlots(ctx context.Context) error {
 	for ctx.Err() == nil {
 		g.permits.TellHeld(g.now())
 		wait.For(ctx, permit.TellEvery)
@@ -324,44 +338,45 @@
 	return nil
 }
 
-// storePause is how long the next look at the store may wait.
-func (g *Gateway) storePause() time.Duration {
-	pause := min(storePauseLeast+time.Duration(g.mesh.Known())*storePausePerPeer, storePauseMost)
-	if g.peers.toldOfStore(g.now()) {
-		return max(pause, time.Duration(storePauseTold*float64(g.settings.Apply)))
+// storePollPause returns the pause before the next watch of the store.
+func (g *Gateway) storePollPause() time.Duration {
+	pause := min(minStorePollPause+time.Duration(g.mesh.Known())*storePollPausePerPeer, maxStorePollPause)
+	if g.peers.peersPollStore(g.now()) {
+		return max(pause, time.Duration(peerInformedPauseShare*float64(g.settings.Apply)))
 	}
 	return pause
 }
 
-// newFollower returns what keeps all that the process knows from the store up to
-// date.
+// newFollower returns the follower that keeps the configuration, the upstreams, the
+// other gateways, the rollouts and the engine speeds in step with the store.
 func (g *Gateway) newFollower() *follow.Follower {
-	view := follow.Split{
+	views := follow.Mux{
 		{Prefix: g.settings.ConfigKey, View: &configView{gateway: g}},
 		{Prefix: g.settings.UpstreamPrefix, View: g.upstreams},
 		{Prefix: memberPrefix, View: g.peers},
-		{Prefix: g.settings.OrderPrefix, View: orderView{g.moves}},
-		{Prefix: movePrefix, View: stateView{g.moves}},
-		{Prefix: speedsKey, View: g.speeds},
+		{Prefix: g.settings.OrderPrefix, View: orderView{g.rolloutController}},
+		{Prefix: rolloutStatePrefix, View: stateView{g.rolloutController}},
+		{Prefix: speedsKey, View: g.speedStore},
 	}
-	return follow.New(g.store, view, follow.Options{
-		Pause: g.storePause, Wait: g.settings.Apply,
-		Lost: func(time.Time) { g.peers.storeAway(true) },
-		Regained: func(now time.Time) {
-			g.roster.StoreReturned(now)
-			g.peers.storeAway(false)
+	return follow.New(g.store, views, follow.Options{
+		WatchPause: g.storePollPause, WatchTimeout: g.settings.Apply,
+		OnLost: func(time.Time) { g.peers.setStoreLost(true) },
+		OnRegained: func(now time.Time) {
+			g.roster.StoreRegained(now)
+			g.peers.setStoreLost(false)
 		},
 	}, g.logger, g.now)
 }
 
-// noteChange keeps the revision of a change that was acted on.
-func (g *Gateway) noteChange(revision int64) {
+// recordChange records the revision of a change that was applied. Hubs gossip it
+// at once.
+func (g *Gateway) recordChange(revision int64) {
 	for {
-		known := g.changed.Load()
+		known := g.lastChange.Load()
 		if revision <= known {
 			return
 		}
-		if g.changed.CompareAndSwap(known, revision) {
+		if g.lastChange.CompareAndSwap(known, revision) {
 			if g.mesh.Hub() {
 				g.mesh.Hurry()
 			}
--- a/internal/role/gateway/gateway_test.go
+++ b/internal/role/gateway/gateway_test.go
@@ -13,41 +13,41 @@
 	"github.com/persimmonridge/persimmonridge/platform/standin"
 )
 
-// Callers of three gateways fill all engines at once. Each gateway sees a third
-// of them; without one place that counts, engines get more than their slots,
-// and some stay idle.
+// Guards against engines that get more requests than they have slots while others are
+// idle. Each of the gateways sees a third of the requests; only a common scheduler
+// knows the free slots.
 func TestEnginesGetNoMoreThanTheirSlots(t *testing.T) {
-	play(t, func(f *fleet) {
-		require.Equal(t, engines*slots, served(f.calls(engines*slots, "/old/x")))
+	runFleet(t, func(f *fleet) {
+		require.Equal(t, engines*slots, countServed(f.callAll(engines*slots, "/old/x")))
 		for i := range engines {
-			require.Equal(t, slots, f.most[engineAt(i)], "engine %d", i)
+			require.Equal(t, slots, f.peakLoad[engineAddress(i)], "engine %d", i)
 		}
 	})
 }
 
-// What comes above the slots waits while it can be in time and is refused as
-// not run after that; nobody is left without an answer.
-func TestEveryCallerGetsAnAnswerInAnOverload(t *testing.T) {
-	play(t, func(f *fleet) {
-		outcomes := f.calls(6*engines*slots, "/old/x")
-		require.GreaterOrEqual(t, served(outcomes), 2*engines*slots)
+// Requests beyond the slots wait while they can be served in time and are refused as
+// not run after that. Every caller must get an answer.
+func TestEveryCallerGetsAnAnswerUnderOverload(t *testing.T) {
+	runFleet(t, func(f *fleet) {
+		outcomes := f.callAll(6*engines*slots, "/old/x")
+		require.GreaterOrEqual(t, countServed(outcomes), 2*engines*slots)
 		for _, o := range outcomes {
 			require.NoError(t, o.err)
 			require.Contains(t, []int{http.StatusOK, http.StatusServiceUnavailable}, o.status)
 			require.Less(t, o.took, 3*time.Second)
 		}
 		for i := range engines {
-			require.LessOrEqual(t, f.most[engineAt(i)], slots)
+			require.LessOrEqual(t, f.peakLoad[engineAddress(i)], slots)
 		}
 	})
 }
 
-// A new configuration adds a route and drops another. Two seconds after the
-// store accepted it, every gateway goes by it.
-func TestConfigurationIsInForceEverywhereWithinItsTime(t *testing.T) {
-	play(t, func(f *fleet) {
+// A new configuration adds a route and drops another. Every gateway must apply it
+// within two seconds of its acceptance by the store.
+func TestConfigurationIsAppliedEverywhereInTime(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		bubble.Pass(5 * time.Second)
-		f.configure(2, "/new/")
+		f.putConfig(2, "/new/")
 		bubble.Pass(2 * time.Second)
 		for i := range gateways {
 			require.Equal(t, http.StatusOK, f.call(i, "/new/x", fmt.Sprint("new", i)).status)
@@ -56,61 +56,62 @@
 	})
 }
 
-// The store is silent for ten seconds; gateways go on with what they know. A
-// change that was accepted at its return is in force two seconds later.
-func TestStoreOutageIsSurvived(t *testing.T) {
-	play(t, func(f *fleet) {
+// The store does not answer for ten seconds, in which the gateways go on with what
+// they know. A change that is accepted on its return must be applied within two
+// seconds.
+func TestGatewaysServeThroughStoreOutage(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		f.store.SetFault(standin.Silent)
 		for range 10 {
 			bubble.Pass(time.Second)
-			require.Equal(t, gateways, served(f.calls(gateways, "/old/x")))
+			require.Equal(t, gateways, countServed(f.callAll(gateways, "/old/x")))
 		}
 		f.store.SetFault(standin.None)
-		f.configure(2, "/new/")
+		f.putConfig(2, "/new/")
 		bubble.Pass(2 * time.Second)
-		require.Equal(t, gateways, served(f.calls(gateways, "/new/x")))
+		require.Equal(t, gateways, countServed(f.callAll(gateways, "/new/x")))
 	})
 }
 
-// An upstream says that it leaves. Two seconds later it gets nothing new.
-func TestLeavingUpstreamGetsNothingNew(t *testing.T) {
-	play(t, func(f *fleet) {
+// An upstream that registers as draining must get no new requests two seconds later.
+func TestDrainingUpstreamGetsNoNewRequests(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		f.store.Put("servers/engine-0", fmt.Sprintf(
-			`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"draining"}`, engineAt(0), slots))
+			`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"draining"}`, engineAddress(0), slots))
 		bubble.Pass(2 * time.Second)
-		f.most[engineAt(0)] = 0
-		require.Equal(t, (engines-1)*slots, served(f.calls((engines-1)*slots, "/old/x")))
-		require.Zero(t, f.most[engineAt(0)])
+		f.peakLoad[engineAddress(0)] = 0
+		require.Equal(t, (engines-1)*slots, countServed(f.callAll((engines-1)*slots, "/old/x")))
+		require.Zero(t, f.peakLoad[engineAddress(0)])
 	})
 }
 
-// The store turns one gateway away and serves the others. A new configuration,
-// and the leaving of an upstream, reach it through its peers.
-func TestGatewayThatTheStoreTurnsAwayIsToldByItsPeers(t *testing.T) {
-	play(t, func(f *fleet) {
+// One gateway cannot reach the store and the others can. A new configuration and the
+// draining of an upstream must reach it through its peers.
+func TestGatewayCutOffFromStoreLearnsChangesFromPeers(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		const cut = 1
-		f.network.Vanish(storeAt(cut))
+		f.network.Vanish(storeAddress(cut))
 		bubble.Pass(5 * time.Second)
-		f.configure(2, "/new/")
+		f.putConfig(2, "/new/")
 		f.store.Put("servers/engine-0", fmt.Sprintf(
-			`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"draining"}`, engineAt(0), slots))
+			`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"draining"}`, engineAddress(0), slots))
 		bubble.Pass(2 * time.Second)
-		f.most[engineAt(0)] = 0
+		f.peakLoad[engineAddress(0)] = 0
 		require.Equal(t, http.StatusOK, f.call(cut, "/new/x", "a").status)
 		require.Equal(t, http.StatusNotFound, f.call(cut, "/old/x", "b").status)
-		require.Zero(t, f.most[engineAt(0)])
+		require.Zero(t, f.peakLoad[engineAddress(0)])
 	})
 }
 
-// The gateway that schedules loses its power while requests wait for its word.
-// They are asked of the next one, and served.
-func TestDeathOfTheSchedulerLosesNoWaitingRequest(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.network.Vanish(linksAt(0))
-		f.network.Vanish(callersAt(0))
+// The scheduler fails while requests wait for its decision. Slots for them must be
+// requested from the next scheduler, so that they are served.
+func TestSchedulerFailureLosesNoWaitingRequest(t *testing.T) {
+	runFleet(t, func(f *fleet) {
+		f.network.Vanish(linkAddress(0))
+		f.network.Vanish(callerAddress(0))
 		for i := range 10 {
-			for _, at := range []int{1, 2} {
-				o := f.call(at, "/old/x", fmt.Sprint("r", i, at))
+			for _, survivor := range []int{1, 2} {
+				o := f.call(survivor, "/old/x", fmt.Sprint("r", i, survivor))
 				require.Equal(t, http.StatusOK, o.status)
 				require.Less(t, o.took, 2*time.Second)
 			}
@@ -118,28 +119,28 @@
 	})
 }
 
-// All gateways lose their power at once. What the engines' speeds are was known
-// to the one that scheduled; it is in the store, so that whoever schedules next
-// need not learn it from streams that slow engines cannot end in time.
-func TestSpeedsOfEnginesAreKeptInTheStore(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.calls(engines*slots, "/old/x")
+// Guards against the loss of the learned engine speeds when all gateways fail at once.
+// The scheduler writes them to the store; without them its successor would learn them
+// from streams that slow engines cannot complete in time.
+func TestEngineSpeedsAreStored(t *testing.T) {
+	runFleet(t, func(f *fleet) {
+		f.callAll(engines*slots, "/old/x")
 		bubble.Pass(2 * time.Second)
 		for i := range engines {
 			require.Contains(t, f.store.Value("engine-speeds"), fmt.Sprintf(`"id":"engine-%d"`, i))
 		}
 		written := f.store.Value("engine-speeds")
 		bubble.Pass(20 * time.Second)
-		require.Equal(t, written, f.store.Value("engine-speeds"), "nothing new is learned, nothing is written")
+		require.Equal(t, written, f.store.Value("engine-speeds"), "speeds that have not changed must not be written again")
 	})
 }
 
-// The store is away while engines show how fast they are, and the gateway that
-// schedules dies before it is back. The next one took all engines for ordinary
-// ones, though it had heard of each stream's place; it knows what was learned,
-// and it is what the store is told at its return.
-func TestNextSchedulerKnowsSpeedsThatTheStoreDoesNot(t *testing.T) {
-	play(t, func(f *fleet) {
+// Guards against a new scheduler that assumes average speed of all engines. The store
+// is unavailable while the speeds are learned, and the scheduler fails before the
+// store returns. The next scheduler must know the speeds from its predecessor and
+// write them to the store on its return.
+func TestNextSchedulerKnowsUnstoredEngineSpeeds(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		f.store.SetFault(standin.Silent)
 		f.warmUp()
 		bubble.Pass(3 * time.Second)
@@ -152,37 +153,36 @@
 	})
 }
 
-// Operators order another version while its upstreams start beside the old
-// ones. The gateway that schedules, and so steps the move, loses its power half
-// way. Another one carries on from what is in the store: the move is completed
-// before its deadline, and told once.
-func TestMoveIsCompletedThoughItsHolderDies(t *testing.T) {
-	play(t, func(f *fleet) {
+// Operators order a rollout while the new version's upstreams start next to the old
+// ones. The scheduler, which advances the rollout, fails half way. Its successor must
+// continue from the state in the store and complete the rollout before its deadline.
+func TestRolloutCompletesAfterSchedulerFailure(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		f.store.Put("op/rollout/tutor", `{"service":"tutor","target":"v2","durationS":20}`)
-		f.serve(engineAt(8), f.engine(engineAt(8)))
+		f.serve(engineAddress(8), f.engine(engineAddress(8)))
 		f.store.Put("servers/engine-8", fmt.Sprintf(
-			`{"service":"tutor","address":%q,"zone":"a","version":"v2","slots":%d,"state":"ready"}`, engineAt(8), slots))
+			`{"service":"tutor","address":%q,"zone":"a","version":"v2","slots":%d,"state":"ready"}`, engineAddress(8), slots))
 		bubble.Pass(2 * time.Second)
 		require.JSONEq(t, `{"state":"running","target":"v2"}`, f.store.Value("status/rollout/tutor"))
 		for i := range 8 {
 			require.Equal(t, http.StatusOK, f.call(1+i%2, "/old/x", fmt.Sprint("before", i)).status)
 		}
-		f.network.Vanish(linksAt(0))
-		f.network.Vanish(callersAt(0))
-		f.network.Vanish(storeAt(0))
+		f.network.Vanish(linkAddress(0))
+		f.network.Vanish(callerAddress(0))
+		f.network.Vanish(storeAddress(0))
 		bubble.Pass(16 * time.Second)
 		require.JSONEq(t, `{"state":"complete","target":"v2"}`, f.store.Value("status/rollout/tutor"))
-		f.most[engineAt(8)] = 0
+		f.peakLoad[engineAddress(8)] = 0
 		require.Equal(t, http.StatusOK, f.call(1, "/old/x", "after").status)
-		require.Positive(t, f.most[engineAt(8)], "after the move only the new version serves")
+		require.Positive(t, f.peakLoad[engineAddress(8)], "only the new version may serve after the rollout")
 	})
 }
 
-// On call, somebody looks whether a gateway hears its peers, which configuration
-// it goes by, what became of asks for places and what the store answers.
-func TestMetricsTellWhatTheGatewayBelieves(t *testing.T) {
-	play(t, func(f *fleet) {
-		f.calls(engines*slots, "/old/x")
+// The metrics must show an operator whether a gateway hears its peers, which
+// configuration is active, and the results of slot requests and store calls.
+func TestMetricsShowGatewayState(t *testing.T) {
+	runFleet(t, func(f *fleet) {
+		f.callAll(engines*slots, "/old/x")
 		text := f.metrics(0)
 		for _, want := range []string{
 			"persimmonridge_configuration_version 1", "persimmonridge_gateways_heard 3", "persimmonridge_upstreams 4",
@@ -194,26 +194,26 @@
 	})
 }
 
-// Guards against engines that are taken to be full of others' requests by a gateway
-// that has just started and has not had the time to hear the others.
-func TestGatewayThatHasHeardNobodyYetUsesItsEngines(t *testing.T) {
-	play(t, func(f *fleet) {
+// Guards against a gateway that has just started and, having received no gossip yet,
+// considers the engines occupied by the other gateways' requests.
+func TestNewGatewayUsesEnginesBeforeHearingPeers(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		for i := range gateways {
 			f.stop(i)
 		}
 		for i := range 20 {
 			f.store.Put("gateways/away-"+strconv.Itoa(i), fmt.Sprintf(`{"address":"10.9.0.%d:81","run":1}`, i+1))
 		}
-		const late = gateways
-		f.serve(storeAt(late), f.store)
-		f.start(late)
+		const added = gateways
+		f.serve(storeAddress(added), f.store)
+		f.start(added)
 		bubble.Pass(50 * time.Millisecond)
 		for i := range 2 * slots {
-			o := f.call(late, "/old/x", "first"+strconv.Itoa(i))
+			o := f.call(added, "/old/x", "first"+strconv.Itoa(i))
 			require.NoError(t, o.err)
 			require.Equal(t, http.StatusOK, o.status)
 			require.Less(t, o.took, 350*time.Millisecond)
 		}
-		f.stop(late)
+		f.stop(added)
 	})
 }
--- a/internal/role/gateway/metrics.go
+++ b/internal/role/gateway/metrics.go
@@ -14,25 +14,26 @@
 	"github.com/persimmonridge/persimmonridge/internal/edge/ingress"
 )
 
-// latencyBuckets span a refusal in 2 ms and a stream of 15 s.
+// latencyBuckets range from 2 ms, the time of a refusal, to 8.2 s; streams of up to
+// 15 s fall into the +Inf bucket.
 var latencyBuckets = prometheus.ExponentialBuckets(0.002, 2, 13)
 
-// metrics implements flow.Metrics and ingress.Metrics. Labels are bounded
-// by the configuration's routes and services.
+// metrics implements flow.Metrics, ingress.Metrics and permit.Metrics. The number of
+// label values is bounded by the tiers and services of the configuration.
 type metrics struct {
-	requests   *prometheus.CounterVec
-	sends      *prometheus.CounterVec
-	latency    *prometheus.HistogramVec
-	firstEvent *prometheus.HistogramVec
-	places     *prometheus.CounterVec
-	placeWait  *prometheus.HistogramVec
-	storeCalls *prometheus.CounterVec
-	closed     *prometheus.CounterVec
-	registry   *prometheus.Registry
+	requests          *prometheus.CounterVec
+	sends             *prometheus.CounterVec
+	latency           *prometheus.HistogramVec
+	firstEvent        *prometheus.HistogramVec
+	places            *prometheus.CounterVec
+	placeWait         *prometheus.HistogramVec
+	storeCalls        *prometheus.CounterVec
+	connectionsClosed *prometheus.CounterVec
+	registry          *prometheus.Registry
 }
 
-// watch adds what is read from the gateway when the metrics are fetched.
-func (m *metrics) watch(g *Gateway) {
+// registerGauges registers the metrics that are read from the gateway on each scrape.
+func (m *metrics) registerGauges(g *Gateway) {
 	auto := promauto.With(m.registry)
 	gauge := func(name, help string, read func() float64) {
 		auto.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_" + name, Help: help}, read)
@@ -43,7 +44,7 @@
 		}
 		return 0
 	})
-	gauge("gateways_known", "Gateways that are known, this one included.", func() float64 { return float64(g.peers.processes()) })
+	gauge("gateways_known", "Gateways that are known, this one included.", func() float64 { return float64(g.peers.gatewayCount()) })
 	gauge("gateways_heard", "Gateways that are heard, this one included.", func() float64 { return float64(len(g.mesh.Alive(g.now())) + 1) })
 	gauge("hub", "1 while this gateway is one of those that all others hear.", func() float64 {
 		if g.mesh.Hub() {
@@ -58,32 +59,33 @@
 		return 0
 	})
 	gauge("upstreams", "Upstreams that are registered.", func() float64 { return float64(len(g.roster.All())) })
-	gauge("log_lines_sampled", "Log lines beyond the bound of a second, since the start.", func() float64 { return float64(g.linesLeftOut(true)) })
-	gauge("log_lines_dropped", "Log lines that a slow reader of the output left no room for, since the start.", func() float64 { return float64(g.linesLeftOut(false)) })
+	gauge("log_lines_sampled", "Log lines beyond the bound of a second, since the start.", func() float64 { return float64(g.omittedLineCount(true)) })
+	gauge("log_lines_dropped", "Log lines that a slow reader of the output left no room for, since the start.", func() float64 { return float64(g.omittedLineCount(false)) })
 }
 
-// linesLeftOut returns the log lines that were left out since the start.
-func (g *Gateway) linesLeftOut(sampled bool) int64 {
-	if g.leftOut == nil {
+// omittedLineCount returns how many log lines were omitted since the start, by
+// sampling or else by a full output buffer.
+func (g *Gateway) omittedLineCount(sampled bool) int64 {
+	if g.omittedLogLines == nil {
 		return 0
 	}
-	bySample, byDrop := g.leftOut()
+	sampledLines, droppedLines := g.omittedLogLines()
 	if sampled {
-		return bySample
+		return sampledLines
 	}
-	return byDrop
+	return droppedLines
 }
 
-// handler serves the metrics as text.
+// handler serves the metrics in the Prometheus text format.
 func (m *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
 func newMetrics() *metrics {
 	registry := prometheus.NewRegistry()
-	// The scheduler's metrics tell how long what is ready to run has waited.
-	runtime := collectors.NewGoCollector(collectors.WithGoCollectorRuntimeMetrics(collectors.MetricsScheduler))
-	registry.MustRegister(runtime, collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	// The Go scheduler's metrics show how long runnable goroutines wait for a thread.
+	goCollector := collectors.NewGoCollector(collectors.WithGoCollectorRuntimeMetrics(collectors.MetricsScheduler))
+	registry.MustRegister(goCollector, collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	auto := promauto.With(registry)
 	return &metrics{
 		registry: registry,
@@ -105,7 +107,7 @@
 		storeCalls: auto.NewCounterVec(prometheus.CounterOpts{
 			Name: "persimmonridge_store_calls_total", Help: "Calls to the key-value service by kind and result.",
 		}, []string{"call", "result"}),
-		closed: auto.NewCounterVec(prometheus.CounterOpts{
+		connectionsClosed: auto.NewCounterVec(prometheus.CounterOpts{
 			Name: "persimmonridge_caller_connections_closed_total",
 			Help: "Callers' connections that this process closed as idle, or with a request in flight.",
 		}, []string{"reason"}),
@@ -123,8 +125,8 @@
 }
 
 // Sent implements flow.Metrics.
-func (m *metrics) Sent(service string, o flow.Outcome) {
-	m.sends.WithLabelValues(service, o.String()).Inc()
+func (m *metrics) Sent(service string, outcome flow.Outcome) {
+	m.sends.WithLabelValues(service, outcome.String()).Inc()
 }
 
 // Placed implements permit.Metrics.
@@ -133,12 +135,12 @@
 	m.placeWait.WithLabelValues(result).Observe(waited.Seconds())
 }
 
-// StoreCall counts a call to the key-value service.
+// StoreCall counts a call to the key-value store.
 func (m *metrics) StoreCall(call, result string) { m.storeCalls.WithLabelValues(call, result).Inc() }
 
 // ConnectionClosed implements ingress.Metrics.
 func (m *metrics) ConnectionClosed(reason ingress.CloseReason) {
-	m.closed.WithLabelValues(string(reason)).Inc()
+	m.connectionsClosed.WithLabelValues(string(reason)).Inc()
 }
 
 // FirstEvent implements flow.Metrics.
--- a/internal/role/gateway/older_store_test.go
+++ b/internal/role/gateway/older_store_test.go
@@ -12,47 +12,47 @@
 	"github.com/persimmonridge/persimmonridge/platform/standin"
 )
 
-// Guards against gateways that hear of no upstream any more once the store has come
-// back from an older copy, whose revisions are lower than what they know.
+// Guards against gateways that ignore all changes of upstreams after the store was
+// restored from an older copy, whose revisions are lower than those they know.
 func TestUpstreamsAreFollowedAfterTheStoreComesBackOlder(t *testing.T) {
-	const fresh = "10.0.1.99:80"
+	const newEngine = "10.0.1.99:80"
 	var outcomes []outcome
-	var onFresh, onGone int
-	play(t, func(f *fleet) {
-		f.serve(fresh, f.engine(fresh))
-		register := func(id, at string) {
-			f.store.Put("servers/"+id, fmt.Sprintf(`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"ready"}`, at, slots))
+	var peakNew, peakRemoved int
+	runFleet(t, func(f *fleet) {
+		f.serve(newEngine, f.engine(newEngine))
+		register := func(id, address string) {
+			f.store.Put("servers/"+id, fmt.Sprintf(`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"ready"}`, address, slots))
 		}
-		before := f.store.Copy()
+		olderCopy := f.store.Copy()
 		for range 100 {
-			register("engine-0", engineAt(0))
+			register("engine-0", engineAddress(0))
 		}
 		bubble.Pass(2 * time.Second)
 		f.store.SetFault(standin.Busy)
 		bubble.Pass(500 * time.Millisecond)
-		f.store.Restore(before)
+		f.store.Restore(olderCopy)
 		f.store.SetFault(standin.None)
-		// The workers write again; one is replaced.
+		// The engines renew their registrations; one is replaced.
 		for i := 1; i < engines; i++ {
-			register(fmt.Sprintf("engine-%d", i), engineAt(i))
+			register(fmt.Sprintf("engine-%d", i), engineAddress(i))
 		}
 		f.store.Remove("servers/engine-0")
-		register("engine-new", fresh)
+		register("engine-new", newEngine)
 		bubble.Pass(3 * time.Second)
 		f.mu.Lock()
-		clear(f.most)
+		clear(f.peakLoad)
 		f.mu.Unlock()
 		for range 3 {
-			outcomes = append(outcomes, f.calls(engines*slots, "/old/x")...)
+			outcomes = append(outcomes, f.callAll(engines*slots, "/old/x")...)
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		onFresh, onGone = f.most[fresh], f.most[engineAt(0)]
+		peakNew, peakRemoved = f.peakLoad[newEngine], f.peakLoad[engineAddress(0)]
 	})
 	for _, o := range outcomes {
 		require.NoError(t, o.err)
 		require.Equal(t, http.StatusOK, o.status)
 	}
-	require.Positive(t, onFresh, "the new engine gets work")
-	require.Zero(t, onGone, "the engine that has gone gets none")
+	require.Positive(t, peakNew, "the new engine must get requests")
+	require.Zero(t, peakRemoved, "the removed engine must get no requests")
 }
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -21,79 +21,82 @@
 )
 
 const (
-	// memberTerm is how long a gateway that stopped without a word is listed.
-	memberTerm = 10 * time.Second
-	// memberRenew leaves room for two lost renewals.
-	memberRenew = 3 * time.Second
-	// unranked is the rank of a gateway that does not know its own yet.
+	// memberLeaseTTL is how long a gateway that crashed stays registered.
+	memberLeaseTTL = 10 * time.Second
+	// memberRenewInterval allows for two lost renewals.
+	memberRenewInterval = 3 * time.Second
+	// unranked is the rank of a gateway that has not read its own registration yet.
 	unranked = math.MaxInt64
-	// chosenFor is how long a choice of the scheduler is good: each request and each
-	// gossip asks for it, and a hub chooses among hundreds of peers.
-	chosenFor = 5 * time.Millisecond
-	// quotaEvery is how often use is told to the scheduler. What all gateways
-	// may take over a quota grows with it: a tenth of a second of the use.
-	quotaEvery = 100 * time.Millisecond
-	// crashesTold bounds the crashes in one gossip.
-	crashesTold = 64
+	// schedulerCacheTTL is how long the selected scheduler is cached: every request and
+	// every gossip message looks it up, and a hub selects among hundreds of peers.
+	schedulerCacheTTL = 5 * time.Millisecond
+	// quotaReportInterval is how often quota use is reported to the scheduler. The
+	// gateways together may exceed a quota by what is used within one interval.
+	quotaReportInterval = 100 * time.Millisecond
+	// maxGossipedCrashes bounds the crashes in one gossip message.
+	maxGossipedCrashes = 64
 )
 
-// member is what a gateway writes of itself in the store.
+// member is a gateway's registration in the store.
 type member struct {
 	Address string `json:"address"`
 	Run     uint64 `json:"run"`
-	// Halvings is how often one core is halved to what the gateway may use.
-	Halvings int64 `json:"halvings,omitempty"`
+	// CPUHalvings is n for a gateway that may use about 1/2^n of one core.
+	CPUHalvings int64 `json:"halvings,omitempty"`
 }
 
 const (
-	// halvingsMost bounds a member's halvings, and halvingsShift puts them before
-	// any revision.
-	halvingsMost  = 8
-	halvingsShift = 48
+	// maxCPUHalvings bounds a member's CPUHalvings.
+	maxCPUHalvings = 8
+	// cpuHalvingsShift places CPUHalvings above any store revision in a rank.
+	cpuHalvingsShift = 48
 )
 
-// halvings returns how often one core is halved to the processor's part.
-func halvings(processor float64) int64 {
-	if processor <= 0 {
+// cpuHalvings returns how many times one core must be halved to get the CPU share,
+// rounded; it is 0 if the share is unknown.
+func cpuHalvings(cpuShare float64) int64 {
+	if cpuShare <= 0 {
 		return 0
 	}
-	return int64(min(max(math.Round(-math.Log2(processor)), 0), halvingsMost))
+	return int64(min(max(math.Round(-math.Log2(cpuShare)), 0), maxCPUHalvings))
 }
 
-// rank returns the rank of a member whose key was created at the revision. What
-// schedules, and what all others hear, costs a VM many times what serving callers
-// does, so those with more processor come first, and then those that came first.
-func (m member) rank(created int64) int64 {
-	return min(max(m.Halvings, 0), halvingsMost)<<halvingsShift | created
+// rank returns the rank of a member whose key was created at the given revision; the
+// lowest rank comes first. Scheduling and being a hub cost a VM many times the CPU
+// time of serving callers, so gateways with more CPU come first, and among equals
+// the one that was registered first.
+func (m member) rank(createdRevision int64) int64 {
+	return min(max(m.CPUHalvings, 0), maxCPUHalvings)<<cpuHalvingsShift | createdRevision
 }
 
-// peers is the gateway's part towards the other gateways. It implements
-// mesh.Handler, and follow.View for the list of gateways in the store.
+// peers handles the exchange with the other gateways. It implements mesh.Handler, and
+// follow.View for the list of gateways in the store.
 type peers struct {
 	*Gateway
-	// hub tells whether the other gateways are told by this one.
-	hub func() bool
+	// isHub reports whether all other gateways exchange gossip with this one.
+	isHub func() bool
 
 	mu   sync.Mutex
 	rank int64
-	// askedConfig and askedRoster are when a peer was last asked.
-	askedConfig, askedRoster time.Time
-	crashes                  []*wire.CrashSeen
-	away                     bool
-	// config and change are what peers know of configurations and upstreams and
-	// this gateway does not.
-	config, change lag
-	// chosen is who scheduled at chosenAt.
-	chosen   string
-	chosenAt time.Time
-	// answering is when those peers were last heard that the store answers.
-	answering map[string]time.Time
+	// configRequestedAt and rosterRequestedAt are the times of the last requests to
+	// any peer.
+	configRequestedAt, rosterRequestedAt time.Time
+	gossipedCrashes                      []*wire.CrashSeen
+	storeLost                            bool
+	// configLag and changeLag track how far this gateway is behind its peers in the
+	// configuration and in the changes from the store.
+	configLag, changeLag lag
+	// cachedScheduler is the scheduler that was selected at schedulerCachedAt.
+	cachedScheduler   string
+	schedulerCachedAt time.Time
+	// storeReachedAt holds, by peer, when it last reported that the store answers it.
+	storeReachedAt map[string]time.Time
 }
 
 // Replace implements follow.View.
 func (p *peers) Replace(now time.Time, s kv.Snapshot) {
 	for _, item := range s.Items {
-		p.member(now, item)
+		p.applyMember(now, item)
 	}
 }
 
@@ -101,22 +104,24 @@
 func (p *peers) Apply(now time.Time, c kv.Changes) {
 	for _, e := range c.Events {
 		if !e.Deleted {
-			p.member(now, e.Item)
+			p.applyMember(now, e.Item)
 		}
 	}
 }
 
-func (p *peers) member(now time.Time, item kv.Item) {
+// applyMember adds a registered gateway to the mesh, or takes this gateway's own rank
+// from its registration.
+func (p *peers) applyMember(now time.Time, item kv.Item) {
 	var m member
 	if err := json.Unmarshal(item.Value, &m); err != nil {
-		p.logger.Warn("member ignored", "key", item.Key, "err", err)
+		p.logger.Warn("gateway registration ignored", "key", item.Key, "err", err)
 		return
 	}
 	if item.Key == memberPrefix+p.settings.Name {
-		// A gateway that the store turns away for longer than its lease is
-		// listed anew when it is back. By the new listing's rank it would stop
-		// scheduling just then, and the next one would begin without its
-		// knowledge; the process lives, so it keeps the rank that it had.
+		// A gateway that loses the store for longer than its lease is registered
+		// again afterwards, with a higher rank. Had it been the scheduler, its
+		// successor would start without the learned estimates. As the process has
+		// not restarted, it keeps its former rank.
 		p.mu.Lock()
 		p.rank = min(p.rank, m.rank(item.Created))
 		p.mu.Unlock()
@@ -125,50 +130,50 @@
 	p.mesh.KnowRanked(now, m.Address, m.rank(item.Created))
 }
 
-// memberPrefix is where gateways are listed in the store.
+// memberPrefix is the prefix of the gateways' registrations in the store.
 const memberPrefix = "gateways/"
 
-// register keeps the gateway listed in the store until the context ends.
+// register keeps the gateway registered in the store until the context ends.
 func (p *peers) register(ctx context.Context) error {
-	value, err := json.Marshal(member{Address: p.settings.Links, Run: p.run, Halvings: halvings(p.settings.Processor)})
+	value, err := json.Marshal(member{Address: p.settings.Links, Run: p.runID, CPUHalvings: cpuHalvings(p.settings.Processor)})
 	if err != nil {
 		return err
 	}
-	lease, listed := int64(0), false
+	lease, registered := int64(0), false
 	for ctx.Err() == nil {
-		if !listed {
-			lease, listed = p.enlist(ctx, lease, value)
+		if !registered {
+			lease, registered = p.registerOnce(ctx, lease, value)
 		} else if err := p.store.Keep(ctx, lease); errorx.IsOfType(err, kv.LeaseEnded) {
-			lease, listed = 0, false
+			lease, registered = 0, false
 			continue
 		}
-		renew := memberRenew
-		if !listed {
-			renew = memberRenew / 6
+		pause := memberRenewInterval
+		if !registered {
+			pause = memberRenewInterval / 6
 		}
-		wait.For(ctx, renew)
+		wait.For(ctx, pause)
 	}
 	if lease != 0 {
-		release, cancel := context.WithTimeout(context.Background(), releaseWithin)
+		releaseCtx, cancel := context.WithTimeout(context.Background(), leaseReleaseTimeout)
 		defer cancel()
-		if err := p.store.Release(release, lease); err != nil {
-			p.logger.Info("lease not released, it lapses", "err", err)
+		if err := p.store.Release(releaseCtx, lease); err != nil {
+			p.logger.Info("gateway lease not released; it will expire", "err", err)
 		}
 	}
 	return nil
 }
 
-// releaseWithin bounds the last call of a stopping process.
-const releaseWithin = 200 * time.Millisecond
+// leaseReleaseTimeout bounds the last store call of a stopping process.
+const leaseReleaseTimeout = 200 * time.Millisecond
 
-// enlist lists the gateway under the lease, or under a new one if that is 0. It
-// returns the lease and whether the gateway is listed. A write without an answer
-// may still be carried out, also after a later one; it is repeated under the same
-// lease, so that all of them say the same.
-func (p *peers) enlist(ctx context.Context, lease int64, value []byte) (int64, bool) {
+// registerOnce registers the gateway under the lease, or under a new one if that is
+// 0. It returns the lease and whether the registration was written. A write that got
+// no answer may still be carried out, even after a later one, so it is repeated under
+// the same lease: all of them then write the same.
+func (p *peers) registerOnce(ctx context.Context, lease int64, value []byte) (int64, bool) {
 	if lease == 0 {
 		var err error
-		if lease, _, err = p.store.Grant(ctx, memberTerm); err != nil {
+		if lease, _, err = p.store.Grant(ctx, memberLeaseTTL); err != nil {
 			return 0, false
 		}
 	}
@@ -176,7 +181,7 @@
 	if err == nil {
 		return lease, true
 	}
-	p.logger.Info("not listed yet", "err", err)
+	p.logger.Info("gateway not registered in the store yet", "err", err)
 	if errorx.IsOfType(err, kv.LeaseEnded) {
 		return 0, false
 	}
@@ -188,8 +193,8 @@
 	p.granter.SetReach(p.mesh.Reach(now))
 	p.mu.Lock()
 	g.Rank = p.rank
-	g.Crashes = p.crashes
-	g.StoreAnswers = !p.away
+	g.Crashes = p.gossipedCrashes
+	g.StoreAnswers = !p.storeLost
 	p.mu.Unlock()
 	if c := p.catalog.Load(); c != nil {
 		g.ConfigVersion = c.Version()
@@ -197,18 +202,18 @@
 	g.Ready = g.ConfigVersion > 0
 	g.Leaving = p.stopping()
 	g.RosterRevision = p.roster.Revision()
-	g.ChangeRevision = p.changed.Load()
+	g.ChangeRevision = p.lastChange.Load()
 }
 
 // Heard implements mesh.Handler.
 func (p *peers) Heard(now time.Time, peer string, g *wire.Gossip) {
 	p.granter.OwnerUp(peer)
 	for _, c := range g.Crashes {
-		if p.crashRegister.Learn(now, c.Fingerprint, c.Upstream) && p.hub() {
-			p.crashed(c.Fingerprint, c.Upstream)
+		if p.crashRegister.Learn(now, c.Fingerprint, c.Upstream) && p.isHub() {
+			p.recordCrash(c.Fingerprint, c.Upstream)
 		}
 	}
-	p.askFor(now, peer, g)
+	p.requestMissing(now, peer, g)
 	p.permits.Follow(now)
 }
 
@@ -218,9 +223,9 @@
 	case *wire.Envelope_PlaceVerdict:
 		p.permits.Verdict(body.PlaceVerdict)
 	case *wire.Envelope_MoveReport:
-		p.moves.heardReport(peer, body.MoveReport)
+		p.rolloutController.receiveReport(peer, body.MoveReport)
 	case *wire.Envelope_MoveState:
-		p.moves.takeState(body.MoveState.Service, body.MoveState.State, body.MoveState.Revision, peer)
+		p.rolloutController.applyState(body.MoveState.Service, body.MoveState.State, body.MoveState.Revision, peer)
 	case *wire.Envelope_QuotaReport:
 		p.ledger.Report(now, peer, quota.Report{
 			Run: body.QuotaReport.Run, Age: time.Duration(body.QuotaReport.AgeMs) * time.Millisecond, Used: body.QuotaReport.Used,
@@ -231,11 +236,11 @@
 			Run: body.QuotaTotals.Run, Others: body.QuotaTotals.Others, Part: body.QuotaTotals.Part, Fresh: body.QuotaTotals.Fresh,
 		})
 	case *wire.Envelope_SnapshotAsk:
-		p.mesh.Send(peer, &wire.Envelope{Body: &wire.Envelope_Snapshot{Snapshot: p.snapshot(body.SnapshotAsk)}})
+		p.mesh.Send(peer, &wire.Envelope{Body: &wire.Envelope_Snapshot{Snapshot: p.buildSnapshot(body.SnapshotAsk)}})
 	case *wire.Envelope_SchedulerMemory:
-		p.takeMemory(now, peer, body.SchedulerMemory)
+		p.applySchedulerMemory(now, peer, body.SchedulerMemory)
 	case *wire.Envelope_Snapshot:
-		p.take(now, peer, body.Snapshot)
+		p.applySnapshot(now, peer, body.Snapshot)
 	default:
 		permit.Serve(now, p.granter, peer, e)
 	}
@@ -244,44 +249,43 @@
 // Down implements mesh.Handler.
 func (p *peers) Down(now time.Time, peer string) {
 	p.mu.Lock()
-	delete(p.answering, peer)
-	p.chosenAt = time.Time{}
+	delete(p.storeReachedAt, peer)
+	p.schedulerCachedAt = time.Time{}
 	p.mu.Unlock()
 	p.granter.OwnerDown(peer)
 	p.permits.Down(peer)
 	p.permits.Follow(now)
 }
 
-// scheduler returns the gateway that schedules engines as this one sees it: of
-// those that know a configuration, that this one hears and that hear it, the one
-// of lowest rank. One that stops is taken only while no other is left: gateways
-// that are told to stop within a few seconds of each other would otherwise each
-// choose by themselves, and give engines more than they have places for.
-// Gateways that see different schedulers put too much on an engine at worst;
-// nothing that must not be wrong depends on it.
+// scheduler returns the gateway that grants engine slots as this one sees it: the one
+// of lowest rank among those that have a configuration and exchange gossip with this
+// one in both directions. A stopping gateway is selected only if all are stopping:
+// otherwise gateways that stop within a few seconds of each other would each select
+// themselves and grant more slots than the engines have. Gateways that disagree about
+// the scheduler can at worst overload an engine; correctness does not depend on it.
 func (p *peers) scheduler(now time.Time) string {
 	p.mu.Lock()
-	age := now.Sub(p.chosenAt)
-	node, fresh := p.chosen, p.chosenAt != time.Time{} && age >= 0 && age < chosenFor
+	age := now.Sub(p.schedulerCachedAt)
+	node, fresh := p.cachedScheduler, p.schedulerCachedAt != time.Time{} && age >= 0 && age < schedulerCacheTTL
 	p.mu.Unlock()
 	if fresh {
 		return node
 	}
-	node = p.choose(now)
+	node = p.selectScheduler(now)
 	p.mu.Lock()
-	p.chosen, p.chosenAt = node, now
+	p.cachedScheduler, p.schedulerCachedAt = node, now
 	p.mu.Unlock()
 	return node
 }
 
-// forgetChoice makes the next call of scheduler choose anew.
-func (p *peers) forgetChoice() {
+// invalidateScheduler makes the next call of scheduler ignore the cached choice.
+func (p *peers) invalidateScheduler() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.chosenAt = time.Time{}
+	p.schedulerCachedAt = time.Time{}
 }
 
-func (p *peers) choose(now time.Time) string {
+func (p *peers) selectScheduler(now time.Time) string {
 	var best candidate
 	if p.catalog.Load() != nil {
 		p.mu.Lock()
@@ -289,14 +293,14 @@
 		p.mu.Unlock()
 	}
 	for _, other := range p.candidates(now) {
-		if other.before(best) {
+		if other.precedes(best) {
 			best = other
 		}
 	}
 	return best.node
 }
 
-// candidates returns the other gateways that may schedule.
+// candidates returns the other gateways that may be the scheduler.
 func (p *peers) candidates(now time.Time) []candidate {
 	var all []candidate
 	for _, other := range p.mesh.Alive(now) {
@@ -307,20 +311,20 @@
 	return all
 }
 
-// othersTake tells whether another gateway is ready and not told to stop.
-func (p *peers) othersTake(now time.Time) bool {
+// otherAcceptsRequests reports whether another gateway is ready and not stopping.
+func (p *peers) otherAcceptsRequests(now time.Time) bool {
 	return slices.ContainsFunc(p.mesh.Alive(now), func(other mesh.Peer) bool { return other.Ready && !other.Leaving })
 }
 
-// candidate is a gateway that may schedule; without a node it is none.
+// candidate is a gateway that may be the scheduler. The zero value stands for none.
 type candidate struct {
 	node    string
 	rank    int64
 	leaving bool
 }
 
-// before tells whether the gateway schedules rather than the other.
-func (c candidate) before(other candidate) bool { return other.node == "" || c.compare(other) < 0 }
+// precedes reports whether the gateway is preferred to the other as the scheduler.
+func (c candidate) precedes(other candidate) bool { return other.node == "" || c.compare(other) < 0 }
 
 func (c candidate) compare(other candidate) int {
 	if c.leaving != other.leaving {
@@ -332,33 +336,33 @@
 	return cmp.Or(cmp.Compare(c.rank, other.rank), cmp.Compare(c.node, other.node))
 }
 
-// deliver hands a verdict to the gateway that asked.
-func (p *peers) deliver(v board.Verdict) {
-	message := permit.VerdictMessage(v)
-	if v.Owner == p.settings.Name {
+// deliverVerdict sends a scheduling decision to the gateway that requested the slot.
+func (p *peers) deliverVerdict(verdict board.Verdict) {
+	message := permit.VerdictMessage(verdict)
+	if verdict.Owner == p.settings.Name {
 		p.permits.Verdict(message.GetPlaceVerdict())
 		return
 	}
-	p.mesh.Send(v.Owner, message)
+	p.mesh.Send(verdict.Owner, message)
 }
 
-// crashed remembers a crash that this gateway saw or hands on, for its gossip.
-func (p *peers) crashed(fingerprint uint64, upstream string) {
+// recordCrash adds a crash that this gateway observed or relays to its gossip.
+func (p *peers) recordCrash(fingerprint uint64, upstream string) {
 	p.mesh.Hurry()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.crashes = append(p.crashes, &wire.CrashSeen{Fingerprint: fingerprint, Upstream: upstream})
-	if len(p.crashes) > crashesTold {
-		p.crashes = append([]*wire.CrashSeen(nil), p.crashes[len(p.crashes)-crashesTold:]...)
+	p.gossipedCrashes = append(p.gossipedCrashes, &wire.CrashSeen{Fingerprint: fingerprint, Upstream: upstream})
+	if len(p.gossipedCrashes) > maxGossipedCrashes {
+		p.gossipedCrashes = append([]*wire.CrashSeen(nil), p.gossipedCrashes[len(p.gossipedCrashes)-maxGossipedCrashes:]...)
 	}
 }
 
-// reportQuota tells the scheduler what workspaces used here; its answer is what
-// they used elsewhere.
+// reportQuota reports the workspaces' use on this gateway to the scheduler until the
+// context ends; the scheduler answers with their use on the other gateways.
 func (p *peers) reportQuota(ctx context.Context) error {
 	for ctx.Err() == nil {
 		now := p.now()
-		report := quota.Report{Run: p.run, Age: now.Sub(p.began), Used: p.quota.Used()}
+		report := quota.Report{Run: p.runID, Age: now.Sub(p.startedAt), Used: p.quota.Used()}
 		switch scheduler := p.scheduler(now); scheduler {
 		case "":
 		case p.settings.Name:
@@ -369,13 +373,13 @@
 				Run: report.Run, AgeMs: uint32(report.Age.Milliseconds()), Used: report.Used,
 			}}})
 		}
-		wait.For(ctx, quotaEvery)
+		wait.For(ctx, quotaReportInterval)
 	}
 	return nil
 }
 
 func (p *peers) quotaTotals(now time.Time, node string) quota.Totals {
-	return p.ledger.Totals(now, node, p.run, p.processes())
+	return p.ledger.Totals(now, node, p.runID, p.gatewayCount())
 }
 
 func quotaMessage(t quota.Totals) *wire.Envelope {
@@ -384,14 +388,15 @@
 	}}}
 }
 
-// storeAway tells whether the store answers, for the gossip.
-func (p *peers) storeAway(away bool) {
+// setStoreLost sets whether the store fails to answer this gateway, which its gossip
+// reports to peers.
+func (p *peers) setStoreLost(lost bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.away = away
+	p.storeLost = lost
 }
 
-// processes returns how many gateways share the fleet's bounds. Those that are
-// listed but not heard yet count: after a restart of all nobody is heard, and
-// each gateway would take the whole for itself.
-func (p *peers) processes() int { return p.mesh.Known() + 1 }
+// gatewayCount returns how many gateways share the fleet-wide limits. Gateways that
+// are registered but have sent no gossip yet count: after a restart of all of them,
+// each would otherwise take the whole limit for itself.
+func (p *peers) gatewayCount() int { return p.mesh.Known() + 1 }
--- a/internal/role/gateway/peers_internal_test.go
+++ b/internal/role/gateway/peers_internal_test.go
@@ -14,26 +14,24 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/kv"
 )
 
-// The store turned a gateway away, and the link on which a peer's answer came
-// was made anew at that moment. The configuration that was lost with it was
-// never asked for again, since the peer had been asked for that version.
-func TestLostAnswerOfAPeerIsAskedForAgain(t *testing.T) {
+// Guards against a configuration that is never requested again after a peer's answer
+// was lost with its link, on a gateway that cannot reach the store.
+func TestLostSnapshotIsRequestedAgain(t *testing.T) {
 	g := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	start := time.Unix(1_000_000, 0)
 	gossip := &wire.Gossip{ConfigVersion: 7}
-	g.peers.askFor(start, "peer", gossip)
-	first := g.peers.askedConfig
-	g.peers.askFor(start.Add(askEvery/2), "peer", gossip)
-	require.Equal(t, first, g.peers.askedConfig, "one ask at a time")
-	g.peers.askFor(start.Add(2*askEvery), "peer", gossip)
-	require.Equal(t, start.Add(2*askEvery), g.peers.askedConfig)
+	g.peers.requestMissing(start, "peer", gossip)
+	first := g.peers.configRequestedAt
+	g.peers.requestMissing(start.Add(snapshotRequestInterval/2), "peer", gossip)
+	require.Equal(t, first, g.peers.configRequestedAt, "a pending request must not be repeated")
+	g.peers.requestMissing(start.Add(2*snapshotRequestInterval), "peer", gossip)
+	require.Equal(t, start.Add(2*snapshotRequestInterval), g.peers.configRequestedAt)
 }
 
-// The gateway that schedules is cut off from the store for longer than its
-// lease, and is listed anew when it is back. It gave up scheduling at that
-// moment, in the middle of an overload, and the next one took all engines for
-// ordinary ones.
-func TestRankOutlivesALapsedListing(t *testing.T) {
+// Guards against a scheduler that gives up scheduling when its registration is renewed
+// after a store outage longer than its lease: its successor, without the learned
+// speeds, would treat all engines alike in the middle of an overload.
+func TestRankSurvivesExpiredRegistration(t *testing.T) {
 	g := New(Parts{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
 	for _, created := range []int64{2, 28} {
@@ -42,70 +40,70 @@
 	require.Equal(t, int64(2), g.peers.rank)
 }
 
-// A fleet has more engines than one message to the next scheduler holds. None of
-// them may be left out for good.
-func TestStandbyIsToldOfAllEnginesInTurn(t *testing.T) {
+// Guards against engines that are never included in the messages to a standby because
+// the fleet has more engines than one message holds.
+func TestStandbyReceivesAllEnginesInBatches(t *testing.T) {
 	var memory board.Memory
-	for i := range 3*standbyEngines - 5 {
+	for i := range 3*maxStandbyEngines - 5 {
 		memory.Speeds = append(memory.Speeds, board.Speed{ID: strconv.Itoa(i), Slowness: 1})
 	}
-	s := &standby{}
-	told := make(map[string]bool)
+	s := &standbySync{}
+	sent := make(map[string]bool)
 	for range 3 {
-		part := s.part(memory)
-		require.LessOrEqual(t, len(part.Speeds), standbyEngines)
-		for _, speed := range part.Speeds {
-			told[speed.ID] = true
+		batch := s.nextBatch(memory)
+		require.LessOrEqual(t, len(batch.Speeds), maxStandbyEngines)
+		for _, speed := range batch.Speeds {
+			sent[speed.ID] = true
 		}
 	}
-	require.Len(t, told, len(memory.Speeds))
+	require.Len(t, sent, len(memory.Speeds))
 }
 
-// Gateways that are told to stop within a moment of each other must agree on who
-// schedules: a ready one before one that stops, then the one of lowest rank.
-func TestReadyGatewaySchedulesBeforeOneThatStops(t *testing.T) {
+// Gateways that stop shortly after one another must agree on the scheduler: a ready
+// gateway precedes a stopping one, then the lowest rank counts.
+func TestReadyGatewayPrecedesStoppingOneAsScheduler(t *testing.T) {
 	stopping, ready, none := candidate{"a", 1, true}, candidate{"b", 9, false}, candidate{}
-	require.True(t, ready.before(stopping))
-	require.False(t, stopping.before(ready))
-	require.True(t, stopping.before(none))
-	require.True(t, candidate{"a", 1, true}.before(candidate{"b", 2, true}))
-	require.True(t, candidate{"a", 1, true}.before(candidate{"b", 1, true}))
+	require.True(t, ready.precedes(stopping))
+	require.False(t, stopping.precedes(ready))
+	require.True(t, stopping.precedes(none))
+	require.True(t, candidate{"a", 1, true}.precedes(candidate{"b", 2, true}))
+	require.True(t, candidate{"a", 1, true}.precedes(candidate{"b", 1, true}))
 }
 
-// Guards against a gateway that goes on running a request which crashed upstreams
-// elsewhere: most gateways hear of a crash from those that all of them hear.
-func TestCrashThatAPeerSawIsHandedOnOnce(t *testing.T) {
+// Guards against a gateway that goes on sending a request which crashed upstreams of
+// other gateways: most gateways learn of a crash from the hubs, which must relay it.
+func TestPeerCrashIsRelayedOnce(t *testing.T) {
 	g := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
 	for range 3 {
 		g.peers.Heard(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: 7, Upstream: "engine"}}})
 	}
-	told := &wire.Gossip{}
-	g.peers.Gossip(now, told)
-	require.Len(t, told.Crashes, 1)
-	require.Equal(t, uint64(7), told.Crashes[0].Fingerprint)
+	gossip := &wire.Gossip{}
+	g.peers.Gossip(now, gossip)
+	require.Len(t, gossip.Crashes, 1)
+	require.Equal(t, uint64(7), gossip.Crashes[0].Fingerprint)
 }
 
-// Guards against a scheduler, and gateways that all others hear, on the thinnest
-// VMs of a fleet, where its messages wait for the processor.
+// Guards against a scheduler and hubs on the smallest VMs of a fleet, where their
+// messages wait for the CPU.
 func TestGatewaysOnLargerVMsRankFirst(t *testing.T) {
-	large, small := member{Halvings: halvings(0.8)}, member{Halvings: halvings(0.144)}
+	large, small := member{CPUHalvings: cpuHalvings(0.8)}, member{CPUHalvings: cpuHalvings(0.144)}
 	require.Less(t, large.rank(900), small.rank(2))
 	require.Less(t, small.rank(2), small.rank(3))
-	require.Equal(t, int64(7), member{Halvings: halvings(0)}.rank(7))
-	require.Equal(t, member{Halvings: halvingsMost}.rank(7), member{Halvings: 1 << 40}.rank(7))
-	require.Equal(t, int64(7), member{Halvings: -1}.rank(7))
+	require.Equal(t, int64(7), member{CPUHalvings: cpuHalvings(0)}.rank(7))
+	require.Equal(t, member{CPUHalvings: maxCPUHalvings}.rank(7), member{CPUHalvings: 1 << 40}.rank(7))
+	require.Equal(t, int64(7), member{CPUHalvings: -1}.rank(7))
 }
 
-// Guards against a request that stays refused for ever once it has crashed upstreams:
-// gateways that repeat to each other what they saw learn it anew each time that they
-// have forgotten it.
+// Guards against a request that is refused for ever after it has crashed upstreams:
+// gateways repeat the crashes to each other and record them again after they have
+// expired.
 func TestCrashesThatPeersRepeatAreForgotten(t *testing.T) {
 	const fingerprint, remembered = 7, 2 * time.Minute
 	now := time.Unix(1_000_000, 0)
 	a := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	b := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
-	tell := func(from, to *Gateway) {
+	sendGossip := func(from, to *Gateway) {
 		gossip := &wire.Gossip{}
 		from.peers.Gossip(now, gossip)
 		to.peers.Heard(now, "peer", &wire.Gossip{Crashes: gossip.Crashes})
@@ -113,11 +111,11 @@
 	for i := range 3 {
 		a.peers.Heard(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: fingerprint, Upstream: strconv.Itoa(i)}}})
 	}
-	tell(a, b)
+	sendGossip(a, b)
 	require.True(t, b.crashRegister.Blocked(now, fingerprint))
 	for end := now.Add(3 * remembered); now.Before(end); now = now.Add(time.Second) {
-		tell(a, b)
-		tell(b, a)
+		sendGossip(a, b)
+		sendGossip(b, a)
 		a.crashRegister.Blocked(now, fingerprint)
 		b.crashRegister.Blocked(now, fingerprint)
 	}
--- a/internal/role/gateway/reload.go
+++ b/internal/role/gateway/reload.go
@@ -4,37 +4,38 @@
 	"time"
 )
 
-// Reload takes settings that changed while the process runs. What is bound to a
-// listener or to the store's keys needs a restart, and the log says so.
+// Reload applies settings that changed while the process runs. The listen
+// addresses, the name and the domain need a restart; a change of them is logged
+// as a warning.
 func (g *Gateway) Reload(next Settings) {
-	old := g.settings
-	if next.Callers != old.Callers || next.Readiness != old.Readiness || next.Links != old.Links ||
-		next.Metrics != old.Metrics || next.Name != old.Name || next.Domain != old.Domain {
+	initial := g.settings
+	if next.Callers != initial.Callers || next.Readiness != initial.Readiness || next.Links != initial.Links ||
+		next.Metrics != initial.Metrics || next.Name != initial.Name || next.Domain != initial.Domain {
 		g.logger.Warn("settings changed that need a restart", "callers", next.Callers, "links", next.Links)
 	}
-	g.retries.SetSettings(next.Retry)
+	g.retryBudget.SetSettings(next.Retry)
 	g.quota.SetOptions(next.Quota)
 	g.grace.Store(int64(next.Grace))
-	for _, seed := range next.Seeds {
-		g.mesh.Know(g.now(), seed)
+	for _, address := range next.Seeds {
+		g.mesh.Know(g.now(), address)
 	}
 	g.logger.Info("settings reloaded", "grace", next.Grace, "seeds", next.Seeds,
 		"retry-share", next.Retry.Share, "retry-slack", next.Retry.Slack, "quota-slack", next.Quota.Slack)
 }
 
-// tellLeftOut writes how many lines the log left out, when it left out more.
-func (g *Gateway) tellLeftOut(now time.Time) {
-	if g.leftOut == nil || now.Sub(g.leftOutTold) < tellLeftOutEvery {
+// logOmittedLines logs how many lines were omitted since the last report, if any.
+func (g *Gateway) logOmittedLines(now time.Time) {
+	if g.omittedLogLines == nil || now.Sub(g.omittedLoggedAt) < omittedLinesInterval {
 		return
 	}
-	g.leftOutTold = now
-	sampled, dropped := g.leftOut()
-	if sampled == g.sampledTold && dropped == g.droppedTold {
+	g.omittedLoggedAt = now
+	sampled, dropped := g.omittedLogLines()
+	if sampled == g.sampledLogged && dropped == g.droppedLogged {
 		return
 	}
-	g.logger.Info("log lines left out", "sampled", sampled-g.sampledTold, "dropped", dropped-g.droppedTold)
-	g.sampledTold, g.droppedTold = sampled, dropped
+	g.logger.Info("log lines left out", "sampled", sampled-g.sampledLogged, "dropped", dropped-g.droppedLogged)
+	g.sampledLogged, g.droppedLogged = sampled, dropped
 }
 
-// tellLeftOutEvery is how often left-out lines are told.
-const tellLeftOutEvery = 5 * time.Second
+// omittedLinesInterval is the least time between two reports of omitted log lines.
+const omittedLinesInterval = 5 * time.Second
--- /dev/null
+++ b/internal/role/gateway/snapshots.go
@@ -0,0 +1,148 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/persimmonridge/persimmonridge/internal/fleet/wire"
+	"github.com/persimmonridge/persimmonridge/internal/state/kv"
+)
+
+const (
+	// snapshotRequestInterval is the least time between two requests to peers for the
+	// configuration, or for the roster. It is well within the two seconds in which a
+	// change must be applied.
+	snapshotRequestInterval = 300 * time.Millisecond
+	// configWaitShare is the share of Settings.Apply after which a missing
+	// configuration is requested from a peer although the store answers. Over a link
+	// of 10 Mbit/s a configuration of 4,000 routes takes more than a second from
+	// either.
+	configWaitShare = 0.6
+	// maxChangeLag is how long a change that a peer has applied may be missing here
+	// before the store is read at once.
+	maxChangeLag = 2 * snapshotRequestInterval
+	// minStorePollers is how many peers must report that the store answers them for a
+	// gateway to poll the store less often. A report counts for storeReachedTTL.
+	minStorePollers = 3
+	storeReachedTTL = 2 * time.Second
+)
+
+// requestMissing requests from a peer the configuration or the upstreams that, by its
+// gossip, it knows and this gateway does not. A request is repeated after
+// snapshotRequestInterval, because the answer may be lost with its link.
+func (p *peers) requestMissing(now time.Time, peer string, g *wire.Gossip) {
+	version := int64(0)
+	if c := p.catalog.Load(); c != nil {
+		version = c.Version()
+	}
+	known := p.roster.Revision()
+	request := &wire.SnapshotAsk{RosterAfter: known}
+	p.mu.Lock()
+	if g.StoreAnswers {
+		p.storeReachedAt[peer] = now
+	} else {
+		delete(p.storeReachedAt, peer)
+	}
+	// While the store answers, the configuration is read from it: a peer that sent a
+	// large configuration to a whole fleet would fall behind on its other messages.
+	configBehind, configBehindFor := p.configLag.observe(now, version, g.ConfigVersion)
+	maxConfigWait := max(snapshotRequestInterval, time.Duration(configWaitShare*float64(p.settings.Apply)))
+	if configBehind && (p.storeLost || configBehindFor > maxConfigWait) && now.Sub(p.configRequestedAt) > snapshotRequestInterval {
+		request.Config, p.configRequestedAt = true, now
+	}
+	// The first upstream list is read from the store.
+	changeBehind, changeBehindFor := p.changeLag.observe(now, known, g.ChangeRevision)
+	changeBehind = changeBehind && known > 0
+	peerNewer := p.storeLost && g.StoreAnswers && g.RosterRevision > known
+	if (changeBehind || peerNewer) && now.Sub(p.rosterRequestedAt) > snapshotRequestInterval {
+		request.Roster, p.rosterRequestedAt = true, now
+	}
+	p.mu.Unlock()
+	if request.Config || request.Roster {
+		p.mesh.Send(peer, &wire.Envelope{Body: &wire.Envelope_SnapshotAsk{SnapshotAsk: request}})
+	}
+	if configBehind || (changeBehind && changeBehindFor > maxChangeLag) {
+		p.follower.Wake(g.ChangeRevision)
+	}
+}
+
+// lag tracks the highest revision that peers have reported, and since when this
+// gateway has been behind.
+type lag struct {
+	peerRevision int64
+	behindSince  time.Time
+}
+
+// observe records a peer's revision and the one known here. It reports whether the
+// peer is ahead, and for how long this gateway has been behind any peer.
+func (l *lag) observe(now time.Time, known, peer int64) (behind bool, behindFor time.Duration) {
+	if l.peerRevision <= known {
+		l.behindSince = time.Time{}
+	}
+	l.peerRevision = max(l.peerRevision, peer)
+	if peer <= known {
+		return false, 0
+	}
+	if l.behindSince.IsZero() {
+		l.behindSince = now
+	}
+	return true, now.Sub(l.behindSince)
+}
+
+// peersPollStore reports whether this gateway may poll the store less often because
+// enough peers poll it. Hubs never do, as the others rely on them.
+func (p *peers) peersPollStore(now time.Time) bool {
+	if p.isHub() {
+		return false
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	count := 0
+	for _, reported := range p.storeReachedAt {
+		if now.Sub(reported) < storeReachedTTL {
+			count++
+		}
+	}
+	return !p.storeLost && count >= minStorePollers
+}
+
+// buildSnapshot returns the answer to a peer's request.
+func (p *peers) buildSnapshot(request *wire.SnapshotAsk) *wire.Snapshot {
+	answer := &wire.Snapshot{}
+	if raw := p.rawConfig.Load(); request.Config && raw != nil {
+		answer.Config = *raw
+	}
+	if !request.Roster {
+		return answer
+	}
+	events, revision, partial := p.upstreams.changesSince(request.RosterAfter)
+	answer.RosterRevision, answer.Partial = revision, partial
+	for _, e := range events {
+		answer.Roster = append(answer.Roster, &wire.StoreItem{Key: e.Key, Value: e.Value, Revision: e.Revision, Removed: e.Deleted})
+	}
+	return answer
+}
+
+// applySnapshot applies a peer's answer.
+func (p *peers) applySnapshot(now time.Time, peer string, answer *wire.Snapshot) {
+	if len(answer.Config) > 0 {
+		p.applyConfig(answer.Config, peer)
+	}
+	if answer.RosterRevision <= p.roster.Revision() {
+		return
+	}
+	if answer.Partial {
+		changes := kv.Changes{Revision: answer.RosterRevision}
+		for _, item := range answer.Roster {
+			changes.Events = append(changes.Events, kv.Event{
+				Item: kv.Item{Key: item.Key, Value: item.Value, Revision: item.Revision}, Deleted: item.Removed,
+			})
+		}
+		p.upstreams.Apply(now, changes)
+		return
+	}
+	snapshot := kv.Snapshot{Revision: answer.RosterRevision}
+	for _, item := range answer.Roster {
+		snapshot.Items = append(snapshot.Items, kv.Item{Key: item.Key, Value: item.Value, Revision: item.Revision})
+	}
+	p.upstreams.Replace(now, snapshot)
+}
--- a/internal/role/gateway/speeds.go
+++ b/internal/role/gateway/speeds.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// speedsKey is where the learned speeds of all engines are kept. They
-	// outlive the gateway that learned them: the next one to schedule, also
-	// after a restart of all, need not give long streams to slow engines first.
+	// speedsKey is the store key of the learned speeds of all engines. They outlive
+	// the scheduler that learned them, so that its successor, also after a restart of
+	// all gateways, does not assign long streams to slow engines at first.
 	speedsKey = "engine-speeds"
-	// speedsFirst is how soon the first speeds are written: within it a busy
-	// engine ends several streams. speedsEvery is the pause between later
-	// writes, a fiftieth of what the gateways' own watches cost the store.
-	speedsFirst = time.Second
-	speedsEvery = 5 * time.Second
-	// speedsDiffer is the ratio from which a speed is worth another write:
-	// engines differ by twos, and what is learned of one wavers by a tenth.
-	speedsDiffer = 1.25
+	// speedsCheckInterval is the pause between checks for new speeds; within it a busy
+	// engine completes several streams. After a write the pause is
+	// speedsWriteInterval, which costs the store a fiftieth of the calls that the
+	// gateways' watches make.
+	speedsCheckInterval = time.Second
+	speedsWriteInterval = 5 * time.Second
+	// minSpeedChangeRatio is the ratio of a learned to a stored speed above which the
+	// speeds are written again: engines differ by factors of two, and the estimate for
+	// one engine varies by a tenth.
+	minSpeedChangeRatio = 1.25
 )
 
-// engineSpeed is one engine's entry in the store.
+// engineSpeed is the stored speed of one engine.
 type engineSpeed struct {
 	ID       string  `json:"id"`
 	Born     int64   `json:"born"`
 	Slowness float64 `json:"slowness"`
 }
 
-// speeds keeps the learned speeds of engines in the store. It implements
-// follow.View for their key.
-type speeds struct {
+// speedStore reads and writes the learned speeds of the engines in the store. It
+// implements follow.View for their key.
+type speedStore struct {
 	*Gateway
 
 	mu       sync.Mutex
@@ -45,67 +47,68 @@
 }
 
 // Replace implements follow.View.
-func (s *speeds) Replace(_ time.Time, all kv.Snapshot) {
-	for _, item := range all.Items {
-		s.take(item)
+func (s *speedStore) Replace(_ time.Time, snapshot kv.Snapshot) {
+	for _, item := range snapshot.Items {
+		s.load(item)
 	}
 }
 
 // Apply implements follow.View.
-func (s *speeds) Apply(_ time.Time, c kv.Changes) {
-	for _, e := range c.Events {
+func (s *speedStore) Apply(_ time.Time, changes kv.Changes) {
+	for _, e := range changes.Events {
 		if !e.Deleted {
-			s.take(e.Item)
+			s.load(e.Item)
 		}
 	}
 }
 
-func (s *speeds) take(item kv.Item) {
+// load passes stored speeds to the granter unless the same or later ones are known.
+func (s *speedStore) load(item kv.Item) {
 	var entries []engineSpeed
 	if err := json.Unmarshal(item.Value, &entries); err != nil {
-		s.logger.Warn("stored speeds ignored", "revision", item.Revision, "err", err)
+		s.logger.Warn("stored engine speeds ignored", "revision", item.Revision, "err", err)
 		return
 	}
 	stored := make(map[string]engineSpeed, len(entries))
-	recalled := make([]board.Speed, 0, len(entries))
+	speeds := make([]board.Speed, 0, len(entries))
 	for _, e := range entries {
 		stored[e.ID] = e
-		recalled = append(recalled, board.Speed{ID: e.ID, Born: e.Born, Slowness: e.Slowness})
+		speeds = append(speeds, board.Speed{ID: e.ID, Born: e.Born, Slowness: e.Slowness})
 	}
 	s.mu.Lock()
-	older := item.Revision <= s.revision
-	if !older {
+	known := item.Revision <= s.revision
+	if !known {
 		s.stored, s.revision = stored, item.Revision
 	}
 	s.mu.Unlock()
-	if older {
+	if known {
 		return
 	}
-	s.granter.Recall(recalled)
+	s.granter.Recall(speeds)
 	s.logger.Info("speeds of engines read", "engines", len(entries), "revision", item.Revision)
 }
 
-// run writes what was learned while this gateway schedules.
-func (s *speeds) run(ctx context.Context) error {
+// run writes the learned speeds while this gateway is the scheduler.
+func (s *speedStore) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause := speedsFirst
+		pause := speedsCheckInterval
 		if s.peers.scheduler(s.now()) == s.settings.Name && s.write(ctx) {
-			pause = speedsEvery
+			pause = speedsWriteInterval
 		}
 		wait.For(ctx, pause)
 	}
 	return nil
 }
 
-// write puts the speeds in the store if they differ from what is there. Two
-// gateways that both take themselves to schedule may write by turns: each wrote
-// what it measured, and either is better than nothing.
-func (s *speeds) write(ctx context.Context) bool {
+// write stores the learned speeds if they differ from the stored ones, and reports
+// whether it made a call. Two gateways that both consider themselves the scheduler
+// may overwrite each other's speeds; either set of measurements is usable.
+func (s *speedStore) write(ctx context.Context) bool {
 	learned := s.granter.Memory().Speeds
 	s.mu.Lock()
-	worth := worthWriting(s.stored, learned)
+	changed := speedsChanged(s.stored, learned)
 	s.mu.Unlock()
-	if !worth {
+	if !changed {
 		return false
 	}
 	entries := make([]engineSpeed, 0, len(learned))
@@ -114,27 +117,27 @@
 	}
 	value, err := json.Marshal(entries)
 	if err != nil {
-		s.logger.Error("speeds of engines cannot be written", "err", err)
+		s.logger.Error("engine speeds could not be encoded", "err", err)
 		return false
 	}
 	revision, err := s.store.Commit(ctx, kv.Transaction{Puts: []kv.Put{{Key: speedsKey, Value: value}}})
 	if err != nil {
-		s.logger.Info("speeds of engines not written", "engines", len(entries), "err", err)
+		s.logger.Info("engine speeds not written to the store", "engines", len(entries), "err", err)
 		return true
 	}
-	s.take(kv.Item{Key: speedsKey, Value: value, Revision: revision})
+	s.load(kv.Item{Key: speedsKey, Value: value, Revision: revision})
 	return true
 }
 
-// worthWriting tells whether an engine was learned that is not stored, or is
-// clearly faster or slower than what is.
-func worthWriting(stored map[string]engineSpeed, learned []board.Speed) bool {
+// speedsChanged reports whether a learned speed is not stored, or differs from the
+// stored one by more than minSpeedChangeRatio.
+func speedsChanged(stored map[string]engineSpeed, learned []board.Speed) bool {
 	for _, l := range learned {
 		s, ok := stored[l.ID]
 		if !ok || s.Born != l.Born || s.Slowness <= 0 {
 			return true
 		}
-		if ratio := l.Slowness / s.Slowness; ratio > speedsDiffer || ratio < 1/speedsDiffer {
+		if ratio := l.Slowness / s.Slowness; ratio > minSpeedChangeRatio || ratio < 1/minSpeedChangeRatio {
 			return true
 		}
 	}
--- a/internal/role/gateway/standby.go
+++ b/internal/role/gateway/standby.go
@@ -11,66 +11,67 @@
 )
 
 const (
-	// standbyEvery is how often the scheduler tells the next ones what it
-	// learned; estimates move by little in a second.
-	standbyEvery = time.Second
-	// standbys is how many are told: the next one may go together with the
+	// standbySyncInterval is how often the scheduler sends its learned estimates to its
+	// standbys; estimates change little within a second.
+	standbySyncInterval = time.Second
+	// standbyCount is the number of standbys: the first may fail together with the
 	// scheduler.
-	standbys = 2
-	// standbyEngines bounds the engines in one message, at some 30 bytes each:
-	// 2 KB a second in all. Of larger fleets each message holds another part.
-	standbyEngines = 32
+	standbyCount = 2
+	// maxStandbyEngines bounds the engines in one message, at some 30 bytes each: about
+	// 2 KB a second to all standbys. For a larger fleet, successive messages hold
+	// successive batches.
+	maxStandbyEngines = 32
 )
 
-// standby keeps those that would schedule next informed.
-type standby struct {
+// standbySync copies the scheduler's learned estimates to its standbys, the gateways
+// that would be the next schedulers.
+type standbySync struct {
 	*Gateway
-	// turn is the engine that the next message begins with.
-	turn int
+	// nextEngine is the index of the first engine in the next message.
+	nextEngine int
 }
 
-// run tells what was learned while this gateway schedules.
-func (s *standby) run(ctx context.Context) error {
+// run sends the learned estimates while this gateway is the scheduler.
+func (s *standbySync) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		now := s.now()
 		if s.peers.scheduler(now) == s.settings.Name {
-			s.tell(now)
+			s.sendMemory(now)
 		}
-		wait.For(ctx, standbyEvery)
+		wait.For(ctx, standbySyncInterval)
 	}
 	return nil
 }
 
-func (s *standby) tell(now time.Time) {
-	next := s.peers.successors(now)
-	if len(next) == 0 {
+func (s *standbySync) sendMemory(now time.Time) {
+	standbys := s.peers.successors(now)
+	if len(standbys) == 0 {
 		return
 	}
-	message := memoryMessage(s.part(s.granter.Memory()))
-	for _, node := range next {
+	message := memoryMessage(s.nextBatch(s.granter.Memory()))
+	for _, node := range standbys {
 		s.mesh.Send(node, message)
 	}
 }
 
-// part leaves of the engines those whose turn it is.
-func (s *standby) part(m board.Memory) board.Memory {
-	if len(m.Speeds) <= standbyEngines {
+// nextBatch reduces the engine speeds to the batch for the next message.
+func (s *standbySync) nextBatch(m board.Memory) board.Memory {
+	if len(m.Speeds) <= maxStandbyEngines {
 		return m
 	}
-	from := s.turn % len(m.Speeds)
-	to := min(from+standbyEngines, len(m.Speeds))
-	s.turn = to
+	from := s.nextEngine % len(m.Speeds)
+	to := min(from+maxStandbyEngines, len(m.Speeds))
+	s.nextEngine = to
 	m.Speeds = m.Speeds[from:to]
 	return m
 }
 
-// successors returns the gateways that would schedule next, the first of them
-// first.
+// successors returns the gateways that would be the next schedulers, in that order.
 func (p *peers) successors(now time.Time) []string {
-	next := p.candidates(now)
-	slices.SortFunc(next, candidate.compare)
-	nodes := make([]string, 0, standbys)
-	for _, c := range next[:min(standbys, len(next))] {
+	sorted := p.candidates(now)
+	slices.SortFunc(sorted, candidate.compare)
+	nodes := make([]string, 0, standbyCount)
+	for _, c := range sorted[:min(standbyCount, len(sorted))] {
 		nodes = append(nodes, c.node)
 	}
 	return nodes
@@ -89,9 +90,9 @@
 	return &wire.Envelope{Body: &wire.Envelope_SchedulerMemory{SchedulerMemory: message}}
 }
 
-// takeMemory believes a peer that schedules. What one says that no longer does,
-// or not yet, is older than what is known here.
-func (p *peers) takeMemory(now time.Time, peer string, message *wire.SchedulerMemory) {
+// applySchedulerMemory applies the estimates that the scheduler sent. Those of a peer
+// that is not the scheduler, or not yet, are older than what is known here.
+func (p *peers) applySchedulerMemory(now time.Time, peer string, message *wire.SchedulerMemory) {
 	if p.scheduler(now) != peer {
 		return
 	}
--- a/internal/role/gateway/stops_test.go
+++ b/internal/role/gateway/stops_test.go
@@ -12,10 +12,10 @@
 	"github.com/persimmonridge/persimmonridge/internal/proof/bubble"
 )
 
-// The gateway that schedules stops, in order, while callers go on. The next one
-// takes over, and no request is cut or waits for long.
-func TestStopOfTheSchedulerIsNotNoticed(t *testing.T) {
-	play(t, func(f *fleet) {
+// The scheduler stops gracefully while callers go on. Its successor must take over
+// without a request that is cut or waits for long.
+func TestSchedulerStopDisturbsNoRequest(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		go f.stop(0)
 		for range 20 {
 			for _, o := range []outcome{f.call(1, "/old/x", "a"+time.Now().String()), f.call(2, "/old/x", "b"+time.Now().String())} {
@@ -28,12 +28,12 @@
 	})
 }
 
-// All gateways are told to stop, one shortly after each other, beside idle
-// engines. Callers of the ones that were told first were refused for seconds,
-// since a stream was measured by its route's 15 seconds and not by the half
-// second that it takes; and nobody scheduled once the last one was told.
-func TestStopsThatOverlapRefuseNobody(t *testing.T) {
-	play(t, func(f *fleet) {
+// Guards against refused requests while all gateways stop shortly after one another and
+// the engines are idle: a stream was expected to take its route's time-out of 15 s
+// instead of the half second that it takes, and no gateway was the scheduler once the
+// last one had begun to stop.
+func TestOverlappingStopsRefuseNoRequest(t *testing.T) {
+	runFleet(t, func(f *fleet) {
 		f.warmUp()
 		for i := range gateways {
 			go f.stop(i)
@@ -48,11 +48,11 @@
 	})
 }
 
-// A gateway that stops gets a request whose length outruns what is left of its
-// time. The caller is told at once, and to come back at once: another gateway
-// has the time. Begun here, it would be cut in the middle.
+// A stopping gateway gets a request that takes longer than the rest of its grace period
+// and would be cut. It must refuse the request at once, with a Retry-After of 10 ms,
+// as another gateway has the time.
 func TestStoppingGatewayLeavesLongStreamsToOthers(t *testing.T) {
-	play(t, func(f *fleet) {
+	runFleet(t, func(f *fleet) {
 		f.warmUp()
 		go f.stop(0)
 		bubble.Pass(3 * time.Second)
@@ -66,12 +66,11 @@
 	})
 }
 
-// Guards against a stream that is taken late in a stop, outruns the guess of its
-// length and is cut: the caller gets all of it, or is told at once that it has
-// not run.
-func TestStreamThatOutrunsItsGuessIsNotCutByAStop(t *testing.T) {
+// Guards against cutting a stream that is accepted late in a stop and becomes longer
+// than its length hint: the caller must get all of it, or an immediate refusal.
+func TestStreamLongerThanItsHintIsNotCutByStop(t *testing.T) {
 	var o outcome
-	play(t, func(f *fleet) {
+	runFleet(t, func(f *fleet) {
 		f.warmUp()
 		go f.stop(0)
 		bubble.Pass(3200 * time.Millisecond)
@@ -87,37 +86,37 @@
 	require.Less(t, o.took, 50*time.Millisecond)
 }
 
-// Guards against a stream that a stop cuts because it came at another moment of it
-// than the one that was mended.
-func TestStreamThatOutrunsItsGuessIsNotCutAtAnyLateMoment(t *testing.T) {
+// Guards against cutting a stream that is accepted at any other moment after the first
+// two seconds of a stop.
+func TestStreamLongerThanItsHintIsNotCutLateInStop(t *testing.T) {
 	for _, since := range []time.Duration{2050, 2500, 3000, 3500, 4000, 4500, 5000, 5500} {
-		requireNotCut(t, since*time.Millisecond, 1)
+		requireStreamNotCut(t, since*time.Millisecond, 1)
 	}
 }
 
-// Guards against a stream that is taken in the first two seconds of a stop, outruns
-// the guess of its length and is cut, though another gateway would serve it whole.
+// Guards against cutting a stream that is accepted in the first two seconds of a stop
+// and becomes longer than its length hint, though another gateway could serve it.
 func TestStreamTakenEarlyInAStopIsNotCut(t *testing.T) {
 	for _, since := range []time.Duration{1000, 1500, 1900} {
-		requireNotCut(t, since*time.Millisecond, 1)
+		requireStreamNotCut(t, since*time.Millisecond, 1)
 	}
 }
 
-// Guards against a stream that is taken late in a stop, outruns two guesses of its
-// length and is cut, because no other gateway takes requests.
+// Guards against cutting a stream that is accepted late in a stop, because no other
+// gateway accepts requests, and becomes longer than twice its length hint.
 func TestLateStreamIsNotCutWhileAllGatewaysStop(t *testing.T) {
 	for _, since := range []time.Duration{2500, 3200, 5000} {
-		requireNotCut(t, since*time.Millisecond, gateways)
+		requireStreamNotCut(t, since*time.Millisecond, gateways)
 	}
 }
 
-// requireNotCut has the first gateways stop, the first with a stream that keeps it at
-// work, and calls that one later for a stream thirty times as long as its guess: its
-// caller gets all of it, or is told at once that it has not run.
-func requireNotCut(t *testing.T, since time.Duration, stopping int) {
+// requireStreamNotCut stops the given number of gateways, the first of which has a
+// stream running, and later calls the first for a stream thirty times as long as its
+// length hint. The caller must get all of it, or an immediate refusal.
+func requireStreamNotCut(t *testing.T, since time.Duration, stopping int) {
 	t.Helper()
 	var o outcome
-	play(t, func(f *fleet) {
+	runFleet(t, func(f *fleet) {
 		f.warmUp()
 		go f.callFor(0, longPath, "long", "1000,360", "360")
 		bubble.Pass(50 * time.Millisecond)
--- a/internal/role/gateway/views.go
+++ b/internal/role/gateway/views.go
@@ -10,73 +10,74 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/roster"
 )
 
-// configView takes the operators' configuration from the store.
+// configView applies the operators' configuration from the store.
 type configView struct{ gateway *Gateway }
 
 // Replace implements follow.View.
 func (v *configView) Replace(_ time.Time, s kv.Snapshot) {
 	for _, item := range s.Items {
-		v.take(item)
+		v.apply(item)
 	}
 }
 
-// Apply implements follow.View. Of several versions in one answer only the last
-// is decoded: a large one takes some milliseconds.
+// Apply implements follow.View. Of several versions in one batch of changes only the
+// last is decoded: decoding a large configuration takes some milliseconds.
 func (v *configView) Apply(_ time.Time, c kv.Changes) {
 	for _, e := range slices.Backward(c.Events) {
 		if !e.Deleted && e.Key == v.gateway.settings.ConfigKey {
-			v.take(e.Item)
-			v.gateway.noteChange(e.Revision)
+			v.apply(e.Item)
+			v.gateway.recordChange(e.Revision)
 			return
 		}
 	}
 }
 
-func (v *configView) take(item kv.Item) {
+func (v *configView) apply(item kv.Item) {
 	if item.Key != v.gateway.settings.ConfigKey {
 		return
 	}
-	v.gateway.takeConfig(item.Value, "store")
+	v.gateway.applyConfig(item.Value, "store")
 }
 
-// takeConfig puts a configuration in force unless a newer one is. A read that
-// is behind, and a peer that is, must never take the process back.
-func (g *Gateway) takeConfig(raw []byte, from string) {
-	begun := g.now()
+// applyConfig decodes a configuration and activates it unless the active one is as
+// new. A stale read or a peer that is behind must never downgrade the configuration.
+func (g *Gateway) applyConfig(raw []byte, from string) {
+	start := g.now()
 	next, err := g.decoder.Config(raw)
-	decoded := g.now().Sub(begun)
+	decodeTime := g.now().Sub(start)
 	if err != nil {
 		g.logger.Error("configuration not taken", "from", from, "err", err)
 		return
 	}
-	if !g.putInForce(next, raw) {
+	if !g.activateConfig(next, raw) {
 		return
 	}
 	g.logger.Info("configuration in force", "version", next.Version(), "from", from,
-		"bytes", len(raw), "decode", decoded, "idle-limit", next.Limits().IdleTimeout)
-	g.upstreamsChanged()
+		"bytes", len(raw), "decode", decodeTime, "idle-limit", next.Limits().IdleTimeout)
+	g.publishEngines()
 }
 
-// putInForce puts a configuration in force if it is newer, and keeps it as it was
-// written for peers. Two that come at once must not be mixed.
-func (g *Gateway) putInForce(next *catalog.Catalog, raw []byte) bool {
-	g.configuring.Lock()
-	defer g.configuring.Unlock()
+// activateConfig activates a configuration if it is newer than the active one, and
+// keeps its encoded form to pass it on to peers. The lock keeps the decoded and the
+// encoded form consistent when two configurations arrive at once.
+func (g *Gateway) activateConfig(next *catalog.Catalog, raw []byte) bool {
+	g.configMu.Lock()
+	defer g.configMu.Unlock()
 	if current := g.catalog.Load(); current != nil && current.Version() >= next.Version() {
 		return false
 	}
 	g.quota.Know(g.now(), next.Workspaces())
 	g.catalog.Store(next)
-	g.peers.forgetChoice()
+	g.peers.invalidateScheduler()
 	g.rawConfig.Store(&raw)
 	return true
 }
 
-// upstreamsChanged tells the scheduler which engines may get work. Of several
-// calls at once, the last to tell has read last.
-func (g *Gateway) upstreamsChanged() {
-	g.listing.Lock()
-	defer g.listing.Unlock()
+// publishEngines passes the engines that may get new requests to the granter. The
+// lock ensures that, of concurrent calls, the last to pass a list has read it last.
+func (g *Gateway) publishEngines() {
+	g.enginesMu.Lock()
+	defer g.enginesMu.Unlock()
 	current := g.catalog.Load()
 	if current == nil {
 		return
--- a/internal/role/gateway/views_internal_test.go
+++ b/internal/role/gateway/views_internal_test.go
@@ -18,40 +18,40 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/roster"
 )
 
-// versions decodes a configuration that is nothing but its version.
-type versions struct{ Decoder }
+// versionDecoder decodes configurations whose encoded form is the version.
+type versionDecoder struct{ Decoder }
 
 // Config implements Decoder.
-func (versions) Config(raw []byte) (*catalog.Catalog, error) {
+func (versionDecoder) Config(raw []byte) (*catalog.Catalog, error) {
 	version, err := strconv.ParseInt(string(raw), 10, 64)
 	return catalog.New(catalog.Content{Version: version}), err
 }
 
-// Guards against a gateway that hands on an older configuration than it goes by:
-// two came at once, from the store and from a peer, and peers that the store
-// turns away were never told of the later one.
-func TestConfigurationInForceIsTheOneHandedOn(t *testing.T) {
-	g := New(Parts{Decoder: versions{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+// Guards against a gateway that passes on an older configuration than its active one:
+// two arrived at once, from the store and from a peer, and peers that could not reach
+// the store never got the later one.
+func TestActiveConfigurationIsTheOnePassedOn(t *testing.T) {
+	g := New(Parts{Decoder: versionDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	for version := 1; version < 20_000; version += 2 {
 		var wg sync.WaitGroup
-		wg.Go(func() { g.takeConfig([]byte(strconv.Itoa(version)), "peer") })
-		wg.Go(func() { g.takeConfig([]byte(strconv.Itoa(version+1)), "store") })
+		wg.Go(func() { g.applyConfig([]byte(strconv.Itoa(version)), "peer") })
+		wg.Go(func() { g.applyConfig([]byte(strconv.Itoa(version+1)), "store") })
 		wg.Wait()
-		handed := g.peers.snapshot(&wire.SnapshotAsk{Config: true})
-		require.Equal(t, strconv.FormatInt(g.catalog.Load().Version(), 10), string(handed.Config))
+		answer := g.peers.buildSnapshot(&wire.SnapshotAsk{Config: true})
+		require.Equal(t, strconv.FormatInt(g.catalog.Load().Version(), 10), string(answer.Config))
 	}
 }
 
-// Guards against an engine that gets work after it said that it leaves: two
-// changes came at once, and the scheduler took the list of before last.
-func TestSchedulerTakesTheLastListOfEngines(t *testing.T) {
+// Guards against an engine that gets requests after it registered as draining: two
+// changes arrived at once, and the granter got the older engine list last.
+func TestGranterGetsLatestEngineList(t *testing.T) {
 	g := New(Parts{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	granted := false
 	g.granter = granter.New(time.Now, func(v board.Verdict) { granted = granted || v.Upstream != "" }, g.logger)
 	g.catalog.Store(catalog.New(catalog.Content{Version: 1, Services: []catalog.Service{{Name: "tutor", Engine: &catalog.Engine{Slots: 1}}}}))
 	change := func(state roster.State, revision int64) {
 		g.roster.Put(roster.Upstream{ID: "engine", Service: "tutor", Slots: 1, State: state, Revision: revision})
-		g.upstreamsChanged()
+		g.publishEngines()
 	}
 	for revision := int64(1); revision < 20_000; revision += 2 {
 		var wg sync.WaitGroup
@@ -65,25 +65,25 @@
 	}
 }
 
-// registrations decodes upstreams that are nothing but their ids.
-type registrations struct{ Decoder }
+// idDecoder decodes registrations to upstreams with only an ID and a service.
+type idDecoder struct{ Decoder }
 
 // Upstream implements Decoder.
-func (registrations) Upstream(key string, _ []byte, revision int64) (roster.Upstream, error) {
+func (idDecoder) Upstream(key string, _ []byte, revision int64) (roster.Upstream, error) {
 	return roster.Upstream{ID: key, Service: "tutor", Revision: revision}, nil
 }
 
 // UpstreamID implements Decoder.
-func (registrations) UpstreamID(key string) string { return key }
+func (idDecoder) UpstreamID(key string) string { return key }
 
-// Guards against an upstream that is gone and is handed on to peers for good: a
-// peer's list, read before, was taken after the change that removed it.
-func TestOlderListIsNotHandedOn(t *testing.T) {
-	g := New(Parts{Decoder: registrations{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+// Guards against a removed upstream that is passed on to peers for ever: a peer's list,
+// read before the removal, was applied after it.
+func TestStaleListIsNotPassedOn(t *testing.T) {
+	g := New(Parts{Decoder: idDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
-	older := kv.Snapshot{Items: []kv.Item{{Key: "gone", Revision: 91}}, Revision: 102}
-	g.upstreams.Replace(now, kv.Snapshot{Items: older.Items, Revision: 99})
+	stale := kv.Snapshot{Items: []kv.Item{{Key: "gone", Revision: 91}}, Revision: 102}
+	g.upstreams.Replace(now, kv.Snapshot{Items: stale.Items, Revision: 99})
 	g.upstreams.Apply(now, kv.Changes{Events: []kv.Event{{Item: kv.Item{Key: "gone", Revision: 104}, Deleted: true}}, Revision: 104})
-	g.upstreams.Replace(now, older)
-	require.Empty(t, g.peers.snapshot(&wire.SnapshotAsk{Roster: true}).Roster)
+	g.upstreams.Replace(now, stale)
+	require.Empty(t, g.peers.buildSnapshot(&wire.SnapshotAsk{Roster: true}).Roster)
 }
--- a/internal/state/follow/follow.go
+++ b/internal/state/follow/follow.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// retryFirst and retryMost bound the pause after a failed call. A store
+	// minRetryPause and retryMost bound the pause after a failed call. A store
 	// that turns this process away is asked up to five times a second, so that
 	// its return is noticed within 200 ms.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 200 * time.Millisecond
-	// watchWait is how long a watch waits at the store if the options do not
+	minRetryPause = 50 * time.Millisecond
+	maxRetryPause = 200 * time.Millisecond
+	// defaultWatchTimeout is how long a watch waits at the store if the options do not
 	// say. One whose connection went silent is given up after it and one call's
 	// time-out.
-	watchWait = time.Second
+	defaultWatchTimeout = time.Second
 )
 
 // View takes what is read. Its methods are called by one goroutine at a time.
@@ -37,37 +37,37 @@
 // Options are how a range is followed.
 type Options struct {
 	Prefix string
-	// Pause returns how long is waited before a watch is repeated, so that keys
+	// WatchPause returns how long is waited before a watch is repeated, so that keys
 	// which change many times a second cost few calls. A change of which Wake
 	// tells ends the pause.
-	Pause func() time.Duration
-	// Wait is how long a watch waits for a change; 0 takes the usual.
-	Wait time.Duration
-	// Lost and Regained are told when calls begin to fail and when the first
+	WatchPause func() time.Duration
+	// WatchTimeout is how long a watch waits for a change; 0 takes the usual.
+	WatchTimeout time.Duration
+	// OnLost and Regained are told when calls begin to fail and when the first
 	// one succeeds again. They may be nil.
-	Lost     func(now time.Time)
-	Regained func(now time.Time)
+	OnLost     func(now time.Time)
+	OnRegained func(now time.Time)
 }
 
 // Follower follows one range until its context ends.
 type Follower struct {
-	store   kv.Store
-	view    View
-	options Options
-	logger  *slog.Logger
-	now     func() time.Time
-	away    bool
-	retry   time.Duration
+	store      kv.Store
+	view       View
+	options    Options
+	logger     *slog.Logger
+	now        func() time.Time
+	storeLost  bool
+	retryPause time.Duration
 
-	// read is the revision up to which the view knows the range.
-	read atomic.Int64
-	wake chan struct{}
+	// readRevision is the revision up to which the view knows the range.
+	readRevision atomic.Int64
+	wake         chan struct{}
 }
 
 // New returns a follower; Run starts it.
 func New(store kv.Store, view View, options Options, logger *slog.Logger, now func() time.Time) *Follower {
-	if options.Wait == 0 {
-		options.Wait = watchWait
+	if options.WatchTimeout == 0 {
+		options.WatchTimeout = defaultWatchTimeout
 	}
 	return &Follower{store: store, view: view, options: options, logger: logger, now: now, wake: make(chan struct{}, 1)}
 }
@@ -75,7 +75,7 @@
 // Wake tells of a change at the revision that somebody else has read. If it is
 // not read here yet, the present pause ends.
 func (f *Follower) Wake(revision int64) {
-	if revision <= f.read.Load() {
+	if revision <= f.readRevision.Load() {
 		return
 	}
 	select {
@@ -90,17 +90,17 @@
 	for ctx.Err() == nil {
 		snapshot, err := f.store.Range(ctx, f.options.Prefix)
 		if err != nil {
-			f.failed(ctx, err)
+			f.callFailed(ctx, err)
 			continue
 		}
-		f.answered()
-		f.read.Store(snapshot.Revision)
+		f.callSucceeded()
+		f.readRevision.Store(snapshot.Revision)
 		f.view.Replace(f.now(), snapshot)
 		if f.watch(ctx, snapshot.Revision) {
 			gapPause = 0
 			continue
 		}
-		gapPause = min(max(2*gapPause, retryFirst), retryMost)
+		gapPause = min(max(2*gapPause, minRetryPause), maxRetryPause)
 		wait.For(ctx, gapPause)
 	}
 	return nil
@@ -112,8 +112,8 @@
 // hang for its whole time after the store's return.
 func (f *Follower) watch(ctx context.Context, after int64) (answered bool) {
 	for ctx.Err() == nil {
-		longest := f.options.Wait
-		if f.away {
+		longest := f.options.WatchTimeout
+		if f.storeLost {
 			longest = 0
 		}
 		changes, err := f.store.Watch(ctx, f.options.Prefix, after, longest)
@@ -122,13 +122,13 @@
 			return answered
 		}
 		if err != nil {
-			f.failed(ctx, err)
+			f.callFailed(ctx, err)
 			continue
 		}
-		f.answered()
+		f.callSucceeded()
 		answered = true
 		after = max(after, changes.Revision)
-		f.read.Store(after)
+		f.readRevision.Store(after)
 		if len(changes.Events) > 0 || changes.Revision > 0 {
 			f.view.Apply(f.now(), changes)
 		}
@@ -141,7 +141,7 @@
 
 // pause waits before the next watch, unless it is woken.
 func (f *Follower) pause(ctx context.Context) {
-	timer := time.NewTimer(f.options.Pause())
+	timer := time.NewTimer(f.options.WatchPause())
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -150,29 +150,29 @@
 	}
 }
 
-func (f *Follower) answered() {
-	f.retry = 0
-	if !f.away {
+func (f *Follower) callSucceeded() {
+	f.retryPause = 0
+	if !f.storeLost {
 		return
 	}
-	f.away = false
+	f.storeLost = false
 	f.logger.Info("store regained", "prefix", f.options.Prefix)
-	if f.options.Regained != nil {
-		f.options.Regained(f.now())
+	if f.options.OnRegained != nil {
+		f.options.OnRegained(f.now())
 	}
 }
 
-func (f *Follower) failed(ctx context.Context, err error) {
+func (f *Follower) callFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !f.away {
-		f.away = true
+	if !f.storeLost {
+		f.storeLost = true
 		f.logger.Warn("store lost", "prefix", f.options.Prefix, "err", err)
-		if f.options.Lost != nil {
-			f.options.Lost(f.now())
+		if f.options.OnLost != nil {
+			f.options.OnLost(f.now())
 		}
 	}
-	f.retry = min(max(2*f.retry, retryFirst), retryMost)
-	wait.For(ctx, f.retry)
+	f.retryPause = min(max(2*f.retryPause, minRetryPause), maxRetryPause)
+	wait.For(ctx, f.retryPause)
 }
--- a/internal/state/follow/follow_test.go
+++ b/internal/state/follow/follow_test.go
@@ -163,7 +163,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, v := newStore(), &view{seen: make(map[string]time.Time)}
 		ctx, cancel := context.WithCancel(t.Context())
-		options := follow.Options{Wait: 2 * time.Second, Pause: func() time.Duration { return pause }}
+		options := follow.Options{WatchTimeout: 2 * time.Second, WatchPause: func() time.Duration { return pause }}
 		f := follow.New(s, v, options, slog.New(slog.DiscardHandler), time.Now)
 		done := make(chan error, 1)
 		go func() { done <- f.Run(ctx) }()
--- a/internal/state/follow/split.go
+++ b/internal/state/follow/split.go
@@ -7,19 +7,19 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/kv"
 )
 
-// Part is a view of the keys under a prefix.
-type Part struct {
+// MuxEntry is a view of the keys under a prefix.
+type MuxEntry struct {
 	Prefix string
 	View   View
 }
 
-// Split is a view that hands each key to the part whose prefix it has. One
+// Mux is a view that hands each key to the part whose prefix it has. One
 // watch of all keys costs the store a fraction of the calls of one for each
 // part, and the part that changes most shows for all that the store answers.
-type Split []Part
+type Mux []MuxEntry
 
 // Replace implements View.
-func (s Split) Replace(now time.Time, all kv.Snapshot) {
+func (s Mux) Replace(now time.Time, all kv.Snapshot) {
 	for _, part := range s {
 		own := kv.Snapshot{Revision: all.Revision}
 		for _, item := range all.Items {
@@ -32,7 +32,7 @@
 }
 
 // Apply implements View.
-func (s Split) Apply(now time.Time, all kv.Changes) {
+func (s Mux) Apply(now time.Time, all kv.Changes) {
 	for _, part := range s {
 		own := kv.Changes{Revision: all.Revision}
 		for _, e := range all.Events {
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -35,43 +35,43 @@
 	Revision int64
 }
 
-// Alike tells whether two registrations differ by a heartbeat only.
-func (u Upstream) Alike(other Upstream) bool {
+// EqualExceptHeartbeat tells whether two registrations differ by a heartbeat only.
+func (u Upstream) EqualExceptHeartbeat(other Upstream) bool {
 	u.Revision, u.Warming = other.Revision, other.Warming
 	return u == other
 }
 
-// returnGrace is how long an upstream whose registration lapsed while the store
+// reregistrationGrace is how long an upstream whose registration lapsed while the store
 // was away may take to register again: the platform states about two seconds.
-const returnGrace = 2200 * time.Millisecond
+const reregistrationGrace = 2200 * time.Millisecond
 
 type record struct {
 	upstream Upstream
-	// missingUntil is set for a registration that lapsed while the store was
+	// retainedUntil is set for a registration that lapsed while the store was
 	// away: it still counts until then.
-	missingUntil time.Time
+	retainedUntil time.Time
 }
 
 // Roster holds the upstreams. It is safe for concurrent use.
 type Roster struct {
-	mu       sync.RWMutex
-	records  map[string]record
-	byID     map[string]Upstream
-	lists    map[string][]Upstream
-	returned time.Time
-	revision int64
+	mu              sync.RWMutex
+	records         map[string]record
+	byID            map[string]Upstream
+	readyByService  map[string][]Upstream
+	storeRegainedAt time.Time
+	revision        int64
 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{records: make(map[string]record), lists: make(map[string][]Upstream)}
+	return &Roster{records: make(map[string]record), readyByService: make(map[string][]Upstream)}
 }
 
-// StoreReturned tells that the store answers again after it did not.
-func (r *Roster) StoreReturned(now time.Time) {
+// StoreRegained tells that the store answers again after it did not.
+func (r *Roster) StoreRegained(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.returned = now
+	r.storeRegainedAt = now
 }
 
 // Replace takes the whole list as read at the revision. What is not in it any
@@ -94,7 +94,7 @@
 		}
 	}
 	r.revision = revision
-	r.index()
+	r.rebuildIndexes()
 	return true
 }
 
@@ -110,8 +110,8 @@
 	r.records[u.ID] = record{upstream: u}
 	// Each upstream's heartbeat comes every second or so, and the lists of a large
 	// fleet take a millisecond to rebuild.
-	if !ok || !old.upstream.Alike(u) {
-		r.index()
+	if !ok || !old.upstream.EqualExceptHeartbeat(u) {
+		r.rebuildIndexes()
 	}
 }
 
@@ -124,11 +124,11 @@
 		return
 	}
 	r.remove(now, id)
-	r.index()
+	r.rebuildIndexes()
 }
 
-// Advance notes the revision up to which changes were taken.
-func (r *Roster) Advance(revision int64) {
+// AdvanceRevision notes the revision up to which changes were taken.
+func (r *Roster) AdvanceRevision(revision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision = max(r.revision, revision)
@@ -149,9 +149,9 @@
 	if !ok {
 		return
 	}
-	until := r.returned.Add(returnGrace)
+	until := r.storeRegainedAt.Add(reregistrationGrace)
 	if old.upstream.State == Ready && now.Before(until) {
-		old.missingUntil = until
+		old.retainedUntil = until
 		r.records[id] = old
 		return
 	}
@@ -164,19 +164,19 @@
 	defer r.mu.Unlock()
 	dropped := false
 	for id, rec := range r.records {
-		if !rec.missingUntil.IsZero() && !now.Before(rec.missingUntil) {
+		if !rec.retainedUntil.IsZero() && !now.Before(rec.retainedUntil) {
 			delete(r.records, id)
 			dropped = true
 		}
 	}
 	if dropped {
-		r.index()
+		r.rebuildIndexes()
 	}
 	return dropped
 }
 
-// index rebuilds the lists that readers get; they are never changed in place.
-func (r *Roster) index() {
+// rebuildIndexes rebuilds the lists that readers get; they are never changed in place.
+func (r *Roster) rebuildIndexes() {
 	lists := make(map[string][]Upstream)
 	byID := make(map[string]Upstream, len(r.records))
 	for id, rec := range r.records {
@@ -188,7 +188,7 @@
 	for _, list := range lists {
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
-	r.lists, r.byID = lists, byID
+	r.readyByService, r.byID = lists, byID
 }
 
 // Ready returns the upstreams of the service that may get new work, in the
@@ -196,7 +196,7 @@
 func (r *Roster) Ready(service string) []Upstream {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.lists[service]
+	return r.readyByService[service]
 }
 
 // Get returns the upstream of the id.
--- a/internal/state/roster/roster_test.go
+++ b/internal/state/roster/roster_test.go
@@ -41,7 +41,7 @@
 	r := roster.New()
 	r.Replace(start, 5, []roster.Upstream{upstream("a", 1, roster.Ready), upstream("b", 2, roster.Ready), upstream("c", 3, roster.Draining)})
 	back := start.Add(10 * time.Second)
-	r.StoreReturned(back)
+	r.StoreRegained(back)
 	r.Replace(back, 9, nil)
 	require.Equal(t, []string{"a", "b"}, ids(r))
 	_, known := r.Get("c")
@@ -87,7 +87,7 @@
 	r.Remove(start, "gone", 104)
 	r.Put(upstream("new", 105, roster.Ready))
 	r.Replace(start, 102, []roster.Upstream{upstream("leaving", 90, roster.Ready), upstream("gone", 91, roster.Ready)})
-	r.Advance(106)
+	r.AdvanceRevision(106)
 
 	require.Equal(t, []string{"new"}, ids(r))
 }
