--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is one accepted configuration: routes, services, workspaces
-// and the limits on callers. A Catalog never changes; a newer version takes its
-// place as a whole.
+// Package catalog holds one accepted version of the configuration: routes, services,
+// workspaces and the limits on callers. A Catalog is immutable; a newer version
+// replaces it as a whole.
 package catalog
 
 import (
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Kind tells what may be repeated.
+// Kind is the kind of a route's requests. It determines whether they may be repeated.
 type Kind int
 
-// The kinds. The zero value is the one that may never be repeated.
+// The kinds of requests. Those of the zero value may never be repeated.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Streaming
 )
 
-// String returns the kind's name in logs.
+// String returns the kind's name, as used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -30,48 +30,50 @@
 	return "non-idempotent"
 }
 
-// Target is a service that a route's requests go to, and its weight among the
-// route's targets.
+// Target is a service that receives a share of a route's requests, by its weight among
+// the route's targets.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Route tells where requests of a host and a path prefix go and what they may
-// cost.
+// Route determines the services for the requests of a host and a path prefix, and
+// their limits.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Resumable streams may be continued at another upstream.
+	// Resumable reports whether a stream may be continued on another upstream.
 	Resumable bool
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout is the longest time that a caller may wait for the end of the answer.
 	Timeout time.Duration
-	// Objective is when a whole answer, or a stream's first event, is due.
+	// Objective is the target for the time to a complete answer, or to a stream's
+	// first event.
 	Objective time.Duration
-	// MaxGap is the longest pause between two events that is still in time.
+	// MaxGap is the target for the longest pause between two events of a stream.
 	MaxGap time.Duration
-	// Tier ranks requests; 0 is served first.
+	// Tier is the priority of requests; 0 is served first.
 	Tier int
-	// MaxAttempts bounds the upstreams that one request is sent to.
+	// MaxAttempts is the largest number of upstreams that one request is sent to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public reports whether requests need no API key.
 	Public  bool
 	Targets []Target
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Engine describes a batching model engine.
+// Engine describes the batching inference engines of a service.
 type Engine struct {
+	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// CacheTokens is the memory for running and cached tokens.
+	// CacheTokens is the size of the KV cache for running and cached tokens.
 	CacheTokens int
-	// EventTokens is how many tokens one event of a stream holds.
+	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
 }
 
@@ -80,26 +82,28 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int
-	// Engine is nil for a plain service.
+	// Engine is nil for a service without inference engines.
 	Engine *Engine
 }
 
-// Workspace is a customer: its keys and its quota.
+// Workspace is a customer with its API keys and its quota.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Tier ranks its requests before the route's tier does, if it is not negative.
+	// Tier takes precedence over the route's tier; a negative tier means none.
 	Tier int
-	// PerSecond and Burst are its quota; PerSecond 0 means that it has none.
+	// PerSecond is the quota's rate; 0 means no quota.
 	PerSecond float64
-	Burst     float64
-	// ByTokens tells that the quota counts tokens, not requests.
+	// Burst is the quota's burst size.
+	Burst float64
+	// ByTokens reports whether the quota counts tokens instead of requests.
 	ByTokens bool
-	// PlainTokens is what a request counts that names no tokens.
+	// PlainTokens is the number of tokens charged for a request without token counts.
 	PlainTokens float64
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of callers' requests, the time to send them and the time that
+// a connection may be idle.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -107,7 +111,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Content is what a catalog is made of.
+// Content is the content of one version of the configuration.
 type Content struct {
 	Version    int64
 	Routes     []Route
@@ -116,30 +120,30 @@
 	Limits     Limits
 }
 
-// Catalog is one version of the configuration, ready for look-ups.
+// Catalog is one version of the configuration, indexed for lookups.
 type Catalog struct {
-	content    Content
-	byHost     map[string][]*Route
-	services   map[string]*Service
-	workspaces map[string]*Workspace
-	byKey      map[string]*Workspace
+	content         Content
+	routesByHost    map[string][]*Route
+	services        map[string]*Service
+	workspaces      map[string]*Workspace
+	workspacesByKey map[string]*Workspace
 }
 
-// New indexes the content. The content must not change afterwards.
+// New returns a catalog of the content, which must not be changed afterwards.
 func New(content Content) *Catalog {
 	c := &Catalog{
-		content:    content,
-		byHost:     make(map[string][]*Route),
-		services:   make(map[string]*Service),
-		workspaces: make(map[string]*Workspace),
-		byKey:      make(map[string]*Workspace),
+		content:         content,
+		routesByHost:    make(map[string][]*Route),
+		services:        make(map[string]*Service),
+		workspaces:      make(map[string]*Workspace),
+		workspacesByKey: make(map[string]*Workspace),
 	}
 	for i := range content.Routes {
 		route := &content.Routes[i]
-		c.byHost[route.Host] = append(c.byHost[route.Host], route)
+		c.routesByHost[route.Host] = append(c.routesByHost[route.Host], route)
 	}
-	for _, routes := range c.byHost {
-		// Longest first, so that the first match is the longest one.
+	for _, routes := range c.routesByHost {
+		// Sorted by descending length, so that the first match is the longest.
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for i := range content.Services {
@@ -149,21 +153,22 @@
 		workspace := &content.Workspaces[i]
 		c.workspaces[workspace.Name] = workspace
 		for _, key := range workspace.Keys {
-			c.byKey[key] = workspace
+			c.workspacesByKey[key] = workspace
 		}
 	}
 	return c
 }
 
-// Version orders catalogs; a process never goes back to a lower one.
+// Version returns the configuration's version. A process never replaces a catalog with
+// one of a lower version.
 func (c *Catalog) Version() int64 { return c.content.Version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on callers.
 func (c *Catalog) Limits() Limits { return c.content.Limits }
 
 // Route returns the route with the longest prefix of the path, or nil.
 func (c *Catalog) Route(host, path string) *Route {
-	for _, route := range c.byHost[host] {
+	for _, route := range c.routesByHost[host] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -171,28 +176,28 @@
 	return nil
 }
 
-// Service returns the service of the name, or nil.
+// Service returns the service with the name, or nil.
 func (c *Catalog) Service(name string) *Service { return c.services[name] }
 
 // Workspaces returns all workspaces.
 func (c *Catalog) Workspaces() []Workspace { return c.content.Workspaces }
 
-// HasWorkspaces tells whether requests need a key.
+// HasWorkspaces reports whether there are workspaces, so that requests need an API key.
 func (c *Catalog) HasWorkspaces() bool { return len(c.workspaces) > 0 }
 
-// Workspace returns the workspace that holds the key, or nil.
-func (c *Catalog) Workspace(key string) *Workspace { return c.byKey[key] }
+// Workspace returns the workspace of the API key, or nil.
+func (c *Catalog) Workspace(key string) *Workspace { return c.workspacesByKey[key] }
 
-// tierWidth is the number of route tiers inside one tier of workspaces.
+// tierWidth is the number of route tiers within one workspace tier.
 const tierWidth = 16
 
-// Tier returns the rank of a workspace's requests on the route: the
-// workspace's own tier goes first, and among workspaces of one tier the
-// route's decides.
+// Tier returns the priority of a workspace's requests on the route; 0 is served first.
+// Requests are ranked by the workspace's tier and, within it, by the route's tier. The
+// route's tier replaces a missing workspace tier.
 func (c *Catalog) Tier(route *Route, workspace *Workspace) int {
-	first := route.Tier
+	workspaceTier := route.Tier
 	if workspace != nil && workspace.Tier >= 0 {
-		first = workspace.Tier
+		workspaceTier = workspace.Tier
 	}
-	return first*tierWidth + min(route.Tier, tierWidth-1)
+	return workspaceTier*tierWidth + min(route.Tier, tierWidth-1)
 }
