--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster is what is known of the upstreams: which there are, where, of
-// which version, and which of them may get new work.
+// Package roster holds the registered upstreams: their addresses and versions, and
+// which of them may get new requests.
 package roster
 
 import (
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// State is what an upstream says of itself.
+// State is the state that an upstream registered.
 type State int
 
-// The states.
+// The states of an upstream. A draining one gets no new requests.
 const (
 	Ready State = iota
 	Draining
 )
 
-// Upstream is one upstream as it registered itself.
+// Upstream is the registration of one upstream.
 type Upstream struct {
 	ID      string
 	Service string
@@ -26,33 +26,35 @@
 	Version string
 	Slots   int
 	State   State
-	// Born is when the upstream started, in Unix milliseconds. An upstream that
-	// starts again under its id holds nothing of before.
+	// Born is the start time of the upstream in Unix milliseconds. An upstream that
+	// restarts under the same ID keeps nothing from before the restart.
 	Born int64
-	// Warming is how much longer the upstream said it stays slow.
+	// Warming is the remaining warm-up time that the upstream reported, during which
+	// it is slow.
 	Warming time.Duration
-	// Revision is the registration's last change in the store.
+	// Revision is the revision of the registration's last change in the store.
 	Revision int64
 }
 
-// EqualExceptHeartbeat tells whether two registrations differ by a heartbeat only.
+// EqualExceptHeartbeat reports whether two registrations differ at most in what a
+// heartbeat changes.
 func (u Upstream) EqualExceptHeartbeat(other Upstream) bool {
 	u.Revision, u.Warming = other.Revision, other.Warming
 	return u == other
 }
 
-// reregistrationGrace is how long an upstream whose registration lapsed while the store
-// was away may take to register again: the platform states about two seconds.
+// reregistrationGrace is how long an upstream whose registration lapsed during a store
+// outage may take to register again: the platform states about two seconds.
 const reregistrationGrace = 2200 * time.Millisecond
 
 type record struct {
 	upstream Upstream
-	// retainedUntil is set for a registration that lapsed while the store was
-	// away: it still counts until then.
+	// retainedUntil is set for a registration that lapsed during a store outage; it
+	// remains valid until then.
 	retainedUntil time.Time
 }
 
-// Roster holds the upstreams. It is safe for concurrent use.
+// Roster is the set of registered upstreams. It is safe for concurrent use.
 type Roster struct {
 	mu              sync.RWMutex
 	records         map[string]record
@@ -67,29 +69,30 @@
 	return &Roster{records: make(map[string]record), readyByService: make(map[string][]Upstream)}
 }
 
-// StoreRegained tells that the store answers again after it did not.
+// StoreRegained records that the store answers again after an outage.
 func (r *Roster) StoreRegained(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeRegainedAt = now
 }
 
-// Replace takes the whole list as read at the revision. What is not in it any
-// more is gone, but for what may have lapsed while the store was away. It tells
-// whether the list was taken: one that is older than what is known is not.
+// Replace replaces the upstreams by the complete list as read at the revision.
+// Upstreams that may have lapsed only because of a store outage are retained for a
+// while. Replace reports whether it applied the list: one that is older than the known
+// revision is ignored.
 func (r *Roster) Replace(now time.Time, revision int64, upstreams []Upstream) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision < r.revision {
 		return false
 	}
-	seen := make(map[string]bool, len(upstreams))
+	registered := make(map[string]bool, len(upstreams))
 	for _, u := range upstreams {
-		seen[u.ID] = true
+		registered[u.ID] = true
 		r.records[u.ID] = record{upstream: u}
 	}
 	for id := range r.records {
-		if !seen[id] {
+		if !registered[id] {
 			r.remove(now, id)
 		}
 	}
@@ -98,7 +101,8 @@
 	return true
 }
 
-// Put takes one registration. A list that is older is of no use from then on.
+// Put adds or replaces one registration unless a later one is known. Replace ignores
+// lists that are older than it.
 func (r *Roster) Put(u Upstream) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,15 +112,15 @@
 		return
 	}
 	r.records[u.ID] = record{upstream: u}
-	// Each upstream's heartbeat comes every second or so, and the lists of a large
-	// fleet take a millisecond to rebuild.
+	// Each upstream sends a heartbeat about every second, and rebuilding the lists of
+	// a large fleet takes a millisecond.
 	if !ok || !old.upstream.EqualExceptHeartbeat(u) {
 		r.rebuildIndexes()
 	}
 }
 
-// Remove takes the removal of a registration at the revision. One that is older
-// than what is known, as a watch tells again after a gap, changes nothing.
+// Remove removes a registration at the revision. A removal that is older than the known
+// registration, as a watch may deliver again after a gap, changes nothing.
 func (r *Roster) Remove(now time.Time, id string, revision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,23 +131,23 @@
 	r.rebuildIndexes()
 }
 
-// AdvanceRevision notes the revision up to which changes were taken.
+// AdvanceRevision raises the revision up to which changes were applied.
 func (r *Roster) AdvanceRevision(revision int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision = max(r.revision, revision)
 }
 
-// Revision returns the revision up to which changes were taken.
+// Revision returns the revision up to which changes were applied.
 func (r *Roster) Revision() int64 {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.revision
 }
 
-// remove drops a registration, or keeps it for a while if it may have lapsed
-// only because the store was away: its upstream then lives and registers again.
-// One that said it drains is dropped at once.
+// remove drops a registration, or retains it for a while if it may have lapsed only
+// because of a store outage: a live upstream then registers again. The registration
+// of a draining upstream is dropped at once.
 func (r *Roster) remove(now time.Time, id string) {
 	old, ok := r.records[id]
 	if !ok {
@@ -158,7 +162,8 @@
 	delete(r.records, id)
 }
 
-// Expire drops what has not come back in time. It tells whether anything was.
+// Expire drops retained registrations that were not renewed in time, and reports
+// whether there were any.
 func (r *Roster) Expire(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,31 +180,32 @@
 	return dropped
 }
 
-// rebuildIndexes rebuilds the lists that readers get; they are never changed in place.
+// rebuildIndexes rebuilds the map and the lists that readers get, which are never
+// changed in place.
 func (r *Roster) rebuildIndexes() {
-	lists := make(map[string][]Upstream)
+	readyByService := make(map[string][]Upstream)
 	byID := make(map[string]Upstream, len(r.records))
 	for id, rec := range r.records {
 		byID[id] = rec.upstream
 		if rec.upstream.State == Ready {
-			lists[rec.upstream.Service] = append(lists[rec.upstream.Service], rec.upstream)
+			readyByService[rec.upstream.Service] = append(readyByService[rec.upstream.Service], rec.upstream)
 		}
 	}
-	for _, list := range lists {
+	for _, list := range readyByService {
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
-	r.readyByService, r.byID = lists, byID
+	r.readyByService, r.byID = readyByService, byID
 }
 
-// Ready returns the upstreams of the service that may get new work, in the
-// order of their ids. The caller must not change the list.
+// Ready returns the upstreams of the service that may get new requests, ordered by
+// ID. The caller must not change the list.
 func (r *Roster) Ready(service string) []Upstream {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.readyByService[service]
 }
 
-// Get returns the upstream of the id.
+// Get returns the upstream with the ID.
 func (r *Roster) Get(id string) (Upstream, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -207,7 +213,7 @@
 	return u, ok
 }
 
-// All returns every upstream that is registered, in no order.
+// All returns all upstreams in no particular order.
 func (r *Roster) All() []Upstream {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/state/roster/roster_test.go
+++ b/internal/state/roster/roster_test.go
@@ -34,27 +34,26 @@
 	require.True(t, known)
 }
 
-// All registrations lapsed while the store was down, and all upstreams live.
-// They register again within two seconds; dropping them at once would leave a
-// whole service without an upstream for that time.
+// Guards against a service without upstreams after a store outage: all registrations
+// lapse during the outage, and live upstreams take up to two seconds to register again.
 func TestLapsedRegistrationsAreRetainedAfterStoreOutage(t *testing.T) {
 	r := roster.New()
 	r.Replace(start, 5, []roster.Upstream{upstream("a", 1, roster.Ready), upstream("b", 2, roster.Ready), upstream("c", 3, roster.Draining)})
-	back := start.Add(10 * time.Second)
-	r.StoreRegained(back)
-	r.Replace(back, 9, nil)
+	regained := start.Add(10 * time.Second)
+	r.StoreRegained(regained)
+	r.Replace(regained, 9, nil)
 	require.Equal(t, []string{"a", "b"}, readyIDs(r))
 	_, known := r.Get("c")
-	require.False(t, known, "one that said it leaves is gone at once")
+	require.False(t, known, "a draining upstream must be dropped at once")
 
 	r.Put(upstream("a", 10, roster.Ready))
-	require.False(t, r.Expire(back.Add(2*time.Second)))
-	require.True(t, r.Expire(back.Add(3*time.Second)))
+	require.False(t, r.Expire(regained.Add(2*time.Second)))
+	require.True(t, r.Expire(regained.Add(3*time.Second)))
 	require.Equal(t, []string{"a"}, readyIDs(r))
 }
 
-// Without an outage a registration that goes is that of an upstream that is
-// gone: its address may soon be another service's.
+// Without a store outage, a registration is removed only when its upstream has ended,
+// and its address may soon belong to another service.
 func TestRemovedUpstreamIsDroppedAtOnce(t *testing.T) {
 	r := roster.New()
 	r.Put(upstream("a", 1, roster.Ready))
@@ -62,8 +61,8 @@
 	require.Empty(t, readyIDs(r))
 }
 
-// A watch tells again what a peer told already, and a peer may be behind. What
-// is older than what is known changes nothing.
+// A watch delivers changes that a peer has already passed on, and a peer may be behind.
+// Changes that are older than the known state must change nothing.
 func TestOlderRevisionsChangeNothing(t *testing.T) {
 	r := roster.New()
 	r.Replace(start, 10, []roster.Upstream{upstream("a", 9, roster.Draining)})
@@ -76,13 +75,13 @@
 	require.Equal(t, []string{"a"}, readyIDs(r))
 }
 
-// Guards against upstreams that leave and get work, that are gone and come back
-// for good, or that are new and forgotten: a peer's list, read before, was taken
-// between changes that the store told.
+// Guards against draining upstreams that get requests, removed ones that return and new
+// ones that are lost: a peer's list, read earlier, was applied between later changes
+// from the store.
 func TestOlderListDoesNotUndoChanges(t *testing.T) {
 	r := roster.New()
 	r.Replace(start, 99, []roster.Upstream{upstream("leaving", 90, roster.Ready), upstream("gone", 91, roster.Ready)})
-	// The store tells of changes up to 106, one by one.
+	// The store delivers the changes up to revision 106 one by one.
 	r.Put(upstream("leaving", 103, roster.Draining))
 	r.Remove(start, "gone", 104)
 	r.Put(upstream("new", 105, roster.Ready))
@@ -92,8 +91,8 @@
 	require.Equal(t, []string{"new"}, readyIDs(r))
 }
 
-// Guards against a process that does nothing but rebuild its lists, because the
-// heartbeats of some thousand upstreams come in each second.
+// Guards against a process that is kept busy with rebuilding its lists by the
+// heartbeats of some thousand upstreams a second.
 func TestHeartbeatDoesNotRebuildLists(t *testing.T) {
 	r := roster.New()
 	r.Put(upstream("a", 1, roster.Ready))
@@ -102,12 +101,12 @@
 	require.Same(t, &before[0], &r.Ready("s")[0])
 	require.Equal(t, int64(2), r.Revision())
 	r.Remove(start, "a", 1)
-	require.Equal(t, []string{"a"}, readyIDs(r), "the removal is older than the heartbeat")
+	require.Equal(t, []string{"a"}, readyIDs(r), "a removal older than the heartbeat must be ignored")
 	r.Put(upstream("a", 3, roster.Draining))
 	require.Empty(t, readyIDs(r))
 }
 
-// BenchmarkHeartbeat takes one heartbeat of 3,000 upstreams.
+// BenchmarkHeartbeat applies heartbeats to a roster of 3,000 upstreams.
 func BenchmarkHeartbeat(b *testing.B) {
 	const count = 3000
 	r := roster.New()
