--- a/internal/state/kv/kv.go
+++ b/internal/state/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv is what the product needs of a key-value service: reads, watches,
-// conditional writes and leases. An adapter implements Store; tests use a
-// stand-in of it.
+// Package kv defines the operations that are needed of a key-value store: reads,
+// watches, conditional writes and leases. An adapter for the platform's store
+// implements Store; tests use a stand-in.
 package kv
 
 import (
@@ -12,82 +12,86 @@
 
 var namespace = errorx.NewNamespace("kv")
 
-// Errors of a Store. Anything else means that the outcome is unknown.
+// Error types of a Store. After any other error the outcome of the call is unknown.
 var (
-	// Unavailable: the service did not answer, or turned this process away.
-	// A write may still be carried out later.
+	// Unavailable means that the store did not answer, or rejects the calls of this
+	// process for now. A write may still be carried out later.
 	Unavailable = namespace.NewType("unavailable")
-	// Compacted: the history after the asked revision is gone; read the whole
-	// range again.
+	// Compacted means that the history after the requested revision was compacted. The
+	// whole range must be read again.
 	Compacted = namespace.NewType("compacted")
-	// Conflict: a condition did not hold, and nothing was written.
+	// Conflict means that a condition did not hold and nothing was written.
 	Conflict = namespace.NewType("conflict")
-	// LeaseEnded: the lease is gone; ask for a new one.
+	// LeaseEnded means that the lease has expired or was released. A new one must be
+	// granted.
 	LeaseEnded = namespace.NewType("lease-ended")
-	// Refused: the service refuses the call as such; asking again is useless.
+	// Refused means that the store rejected the call as invalid. Repeating it is
+	// useless.
 	Refused = namespace.NewType("refused")
 )
 
-// Item is one key as it was last written.
+// Item is a key with its last written value.
 type Item struct {
 	Key      string
 	Value    []byte
 	Revision int64
-	// Created is the revision at which the key came to be.
+	// Created is the revision at which the key was created.
 	Created int64
 }
 
-// Event is one change of a key. Deleted events carry no value.
+// Event is a change of one key. The event of a deletion has no value.
 type Event struct {
 	Item
 	Deleted bool
 }
 
-// Snapshot is a range of keys and the revision from which to watch on.
+// Snapshot is the content of a range of keys, and the revision after which to watch for
+// changes.
 type Snapshot struct {
 	Items    []Item
 	Revision int64
 }
 
-// Changes is what a watch returned and the revision from which to watch on.
+// Changes is the result of a watch, and the revision after which to continue it.
 type Changes struct {
 	Events   []Event
 	Revision int64
 }
 
-// Condition demands that a key's last change has the revision; 0 demands that
-// the key does not exist.
+// Condition requires that a key was last changed at the revision; 0 requires that the
+// key does not exist.
 type Condition struct {
 	Key      string
 	Revision int64
 }
 
-// Put writes a key, under a lease unless Lease is 0.
+// Put writes a key; the key is attached to a lease unless Lease is 0.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease int64
 }
 
-// Transaction is applied as a whole or not at all.
+// Transaction is a set of writes that are applied atomically if all conditions hold.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
 	Removes    []string
 }
 
-// Store is the service. All methods give up when the context ends.
+// Store is a key-value store. All methods return when the context ends.
 type Store interface {
 	// Range reads all keys under the prefix.
 	Range(ctx context.Context, prefix string) (Snapshot, error)
-	// Watch waits, at most for the time given, for changes after the revision.
+	// Watch returns the changes after the revision. If there are none, it waits for
+	// them for at most the given time.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
 	// Commit applies the transaction and returns its revision.
 	Commit(ctx context.Context, t Transaction) (int64, error)
-	// Grant returns a lease and how long it lasts.
+	// Grant returns a new lease and the TTL that the store granted.
 	Grant(ctx context.Context, ttl time.Duration) (lease int64, granted time.Duration, err error)
 	// Keep renews a lease.
 	Keep(ctx context.Context, lease int64) error
-	// Release ends a lease and removes its keys.
+	// Release ends a lease and deletes its keys.
 	Release(ctx context.Context, lease int64) error
 }
