--- a/internal/state/wait/wait.go
+++ b/internal/state/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait lets a goroutine pause without outliving what it works for.
+// Package wait provides a pause that ends with a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For returns after the time, or when the context ends.
+// For waits for the duration or until the context ends.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
