--- a/internal/role/gateway/gateway_test.go
+++ b/internal/role/gateway/gateway_test.go
@@ -202,7 +202,7 @@
 			f.stop(i)
 		}
 		for i := range 20 {
-			f.store.Put("gateways/away-"+strconv.Itoa(i), fmt.Sprintf(`{"address":"10.9.0.%d:81","run":1}`, i+1))
+			f.store.Put("gateways/unreachable-"+strconv.Itoa(i), fmt.Sprintf(`{"address":"10.9.0.%d:81","run":1}`, i+1))
 		}
 		const added = gateways
 		f.serve(storeAddress(added), f.store)
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -289,7 +289,7 @@
 	var best candidate
 	if p.catalog.Load() != nil {
 		p.mu.Lock()
-		best = candidate{node: p.settings.Name, rank: p.rank, leaving: p.stopping()}
+		best = candidate{node: p.settings.Name, rank: p.rank, stopping: p.stopping()}
 		p.mu.Unlock()
 	}
 	for _, other := range p.candidates(now) {
@@ -305,7 +305,7 @@
 	var all []candidate
 	for _, other := range p.mesh.Alive(now) {
 		if other.Ready && other.HearsUs {
-			all = append(all, candidate{node: other.Node, rank: other.Rank, leaving: other.Leaving})
+			all = append(all, candidate{node: other.Node, rank: other.Rank, stopping: other.Leaving})
 		}
 	}
 	return all
@@ -318,17 +318,17 @@
 
 // candidate is a gateway that may be the scheduler. The zero value stands for none.
 type candidate struct {
-	node    string
-	rank    int64
-	leaving bool
+	node     string
+	rank     int64
+	stopping bool
 }
 
 // precedes reports whether the gateway is preferred to the other as the scheduler.
 func (c candidate) precedes(other candidate) bool { return other.node == "" || c.compare(other) < 0 }
 
 func (c candidate) compare(other candidate) int {
-	if c.leaving != other.leaving {
-		if other.leaving {
+	if c.stopping != other.stopping {
+		if other.stopping {
 			return -1
 		}
 		return 1
--- a/internal/role/gateway/views_internal_test.go
+++ b/internal/role/gateway/views_internal_test.go
@@ -81,9 +81,9 @@
 func TestStaleListIsNotPassedOn(t *testing.T) {
 	g := New(Parts{Decoder: idDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
-	stale := kv.Snapshot{Items: []kv.Item{{Key: "gone", Revision: 91}}, Revision: 102}
+	stale := kv.Snapshot{Items: []kv.Item{{Key: "removed", Revision: 91}}, Revision: 102}
 	g.upstreams.Replace(now, kv.Snapshot{Items: stale.Items, Revision: 99})
-	g.upstreams.Apply(now, kv.Changes{Events: []kv.Event{{Item: kv.Item{Key: "gone", Revision: 104}, Deleted: true}}, Revision: 104})
+	g.upstreams.Apply(now, kv.Changes{Events: []kv.Event{{Item: kv.Item{Key: "removed", Revision: 104}, Deleted: true}}, Revision: 104})
 	g.upstreams.Replace(now, stale)
 	require.Empty(t, g.peers.buildSnapshot(&wire.SnapshotAsk{Roster: true}).Roster)
 }
--- a/internal/state/follow/follow_test.go
+++ b/internal/state/follow/follow_test.go
@@ -184,9 +184,9 @@
 		s.put("first")
 		advance(100 * time.Millisecond)
 		s.put("second")
-		at := time.Now()
+		written := time.Now()
 		advance(time.Second)
-		require.WithinDuration(t, at, v.firstSeen("second"), 500*time.Millisecond)
+		require.WithinDuration(t, written, v.firstSeen("second"), 500*time.Millisecond)
 	})
 }
 
@@ -200,9 +200,9 @@
 		advance(7300 * time.Millisecond)
 		s.put("while silent")
 		s.update(func() { s.silent = false })
-		back := time.Now()
+		returned := time.Now()
 		advance(3 * time.Second)
-		require.WithinDuration(t, back, v.firstSeen("while silent"), time.Second)
+		require.WithinDuration(t, returned, v.firstSeen("while silent"), time.Second)
 	})
 }
 
@@ -229,9 +229,9 @@
 		require.LessOrEqual(t, s.takeCallCount(), 110)
 		s.put("meanwhile")
 		s.update(func() { s.compactedBefore = 0 })
-		back := time.Now()
+		returned := time.Now()
 		advance(time.Second)
-		require.WithinDuration(t, back, v.firstSeen("meanwhile"), 200*time.Millisecond)
+		require.WithinDuration(t, returned, v.firstSeen("meanwhile"), 200*time.Millisecond)
 	})
 }
 
@@ -258,9 +258,9 @@
 		advance(100 * time.Millisecond)
 		s.put("second")
 		f.Wake(s.revision)
-		at := time.Now()
+		written := time.Now()
 		advance(time.Second)
-		require.Equal(t, at, v.firstSeen("second"))
+		require.Equal(t, written, v.firstSeen("second"))
 		s.put("third")
 		advance(10 * time.Millisecond)
 		f.Wake(s.revision)
--- a/internal/state/roster/roster_test.go
+++ b/internal/state/roster/roster_test.go
@@ -80,12 +80,12 @@
 // from the store.
 func TestOlderListDoesNotUndoChanges(t *testing.T) {
 	r := roster.New()
-	r.Replace(start, 99, []roster.Upstream{upstream("leaving", 90, roster.Ready), upstream("gone", 91, roster.Ready)})
+	r.Replace(start, 99, []roster.Upstream{upstream("draining", 90, roster.Ready), upstream("removed", 91, roster.Ready)})
 	// The store delivers the changes up to revision 106 one by one.
-	r.Put(upstream("leaving", 103, roster.Draining))
-	r.Remove(start, "gone", 104)
+	r.Put(upstream("draining", 103, roster.Draining))
+	r.Remove(start, "removed", 104)
 	r.Put(upstream("new", 105, roster.Ready))
-	r.Replace(start, 102, []roster.Upstream{upstream("leaving", 90, roster.Ready), upstream("gone", 91, roster.Ready)})
+	r.Replace(start, 102, []roster.Upstream{upstream("draining", 90, roster.Ready), upstream("removed", 91, roster.Ready)})
 	r.AdvanceRevision(106)
 
 	require.Equal(t, []string{"new"}, readyIDs(r))
