--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -47,9 +47,10 @@
 	minStorePollPause     = 500 * time.Millisecond
 	storePollPausePerPeer = 30 * time.Millisecond
 	maxStorePollPause     = 1200 * time.Millisecond
-	// peerInformedPauseShare is the pause, as a share of Settings.Apply, of a
-	// gateway that receives gossip from several peers which poll more often. It
-	// still applies a configuration in time if none of them reports it.
+	// peerInformedPauseShare is the pause, as a share of the time in which a
+	// configuration must be applied, of a gateway that receives gossip from several
+	// peers which poll more often. The gateway still applies a configuration in time
+	// if none of them reports it.
 	peerInformedPauseShare = 0.7
 	// sweepInterval is how often idle connections and expired upstreams are
 	// dropped.
@@ -84,8 +85,8 @@
 	ConfigKey, UpstreamPrefix string
 	OrderPrefix               string
 	Quota                     quota.Options
-	// Apply is the longest time from the store's acknowledgment of a configuration
-	// until every gateway uses it.
+	// Apply is the longest time that may pass from the store's acknowledgment
+	// of a configuration until every gateway uses it.
 	Apply time.Duration
 }
 
--- a/internal/role/gateway/snapshots.go
+++ b/internal/role/gateway/snapshots.go
@@ -12,10 +12,10 @@
 	// configuration, or for the roster. It is well within the two seconds in which a
 	// change must be applied.
 	snapshotRequestInterval = 300 * time.Millisecond
-	// configWaitShare is the share of Settings.Apply after which a missing
-	// configuration is requested from a peer although the store answers. Over a link
-	// of 10 Mbit/s a configuration of 4,000 routes takes more than a second from
-	// either.
+	// configWaitShare is the share of the time in which a configuration must be applied
+	// after which a missing one is requested from a peer although the store answers.
+	// Over a link of 10 Mbit/s a configuration of 4,000 routes takes more than a second
+	// from either.
 	configWaitShare = 0.6
 	// maxChangeLag is how long a change that a peer has applied may be missing here
 	// before the store is read at once.
--- a/internal/role/gateway/standby.go
+++ b/internal/role/gateway/standby.go
@@ -91,7 +91,7 @@
 }
 
 // applySchedulerMemory applies the estimates that the scheduler sent. Those of a peer
-// that is not the scheduler, or not yet, are older than what is known here.
+// that is no longer the scheduler, or not yet, are older than what is known here.
 func (p *peers) applySchedulerMemory(now time.Time, peer string, message *wire.SchedulerMemory) {
 	if p.scheduler(now) != peer {
 		return
--- a/internal/role/gateway/upstreams.go
+++ b/internal/role/gateway/upstreams.go
@@ -170,9 +170,9 @@
 }
 
 // changesSince returns the changes after a revision, in no particular order, and the
-// revision up to which they are complete. If partial is false, the changes are not
-// known and the events are the complete list. Registrations that lapsed during a
-// store outage and may be renewed are not reported as removed.
+// revision up to which they are complete. If partial is false, the history does not
+// reach back that far and the events are the complete list. Registrations that lapsed
+// during a store outage and may be renewed are not reported as removed.
 func (v *upstreamView) changesSince(after int64) (events []kv.Event, revision int64, partial bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
