--- a/internal/edge/flow/admit.go
+++ b/internal/edge/flow/admit.go
@@ -15,107 +15,109 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/wait"
 )
 
-// admit decides by the configuration alone.
-func (u *run) admit() bool {
-	u.catalog = u.Catalog()
-	if u.catalog == nil {
-		u.refuse(http.StatusServiceUnavailable, unconfiguredRetry, "no configuration yet")
+// admit looks up route, workspace and tier, and refuses requests that the
+// configuration does not allow.
+func (c *call) admit() bool {
+	c.catalog = c.Catalog()
+	if c.catalog == nil {
+		c.refuse(http.StatusServiceUnavailable, unconfiguredRetryAfter, "no configuration loaded yet")
 		return false
 	}
-	u.route = u.catalog.Route(u.request.Host, u.request.Path)
-	if u.route == nil {
-		u.refuse(http.StatusNotFound, 0, "no route")
+	c.route = c.catalog.Route(c.request.Host, c.request.Path)
+	if c.route == nil {
+		c.refuse(http.StatusNotFound, 0, "no matching route")
 		return false
 	}
-	u.work = u.catalog.Workspace(u.request.Key)
-	u.tier = u.catalog.Tier(u.route, u.work)
-	if u.work == nil && !u.route.Public && u.catalog.HasWorkspaces() {
-		u.refuse(http.StatusUnauthorized, 0, "unknown key")
+	c.workspace = c.catalog.Workspace(c.request.Key)
+	c.tier = c.catalog.Tier(c.route, c.workspace)
+	if c.workspace == nil && !c.route.Public && c.catalog.HasWorkspaces() {
+		c.refuse(http.StatusUnauthorized, 0, "unknown API key")
 		return false
 	}
 	return true
 }
 
-func (u *run) readBody(r *http.Request) bool {
-	most := u.catalog.Limits().BodyBytes
-	if most <= 0 {
-		most = 4 << 20
+func (c *call) readBody(r *http.Request) bool {
+	maxBytes := c.catalog.Limits().BodyBytes
+	if maxBytes <= 0 {
+		maxBytes = 4 << 20
 	}
-	if r.ContentLength > most {
-		u.refuseBody(&http.MaxBytesError{Limit: most})
+	if r.ContentLength > maxBytes {
+		c.refuseBody(&http.MaxBytesError{Limit: maxBytes})
 		return false
 	}
-	controller := http.NewResponseController(u.w)
-	if err := controller.SetReadDeadline(u.until); err != nil {
-		u.logger.Debug("no read deadline", "err", err)
+	controller := http.NewResponseController(c.w)
+	if err := controller.SetReadDeadline(c.deadline); err != nil {
+		c.logger.Debug("could not set the read deadline", "err", err)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(u.w, r.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, r.Body, maxBytes))
 	if err != nil {
-		u.refuseBody(err)
+		c.refuseBody(err)
 		return false
 	}
 	if err := controller.SetReadDeadline(time.Time{}); err != nil {
-		u.logger.Debug("no read deadline", "err", err)
+		c.logger.Debug("could not set the read deadline", "err", err)
 	}
-	u.request.Body = body
+	c.request.Body = body
 	return true
 }
 
-// refuseBody answers a request whose body could not be read. Nothing that follows on
-// its connection can be told from the rest of the body.
-func (u *run) refuseBody(err error) {
-	u.w.Header().Set("Connection", "close")
+// refuseBody answers a request whose body could not be read. It closes the
+// connection, since the rest of the body cannot be told from the next request.
+func (c *call) refuseBody(err error) {
+	c.w.Header().Set("Connection", "close")
 	var tooLarge *http.MaxBytesError
-	var broken *net.OpError
+	var connFailed *net.OpError
 	switch {
 	case errors.As(err, &tooLarge):
-		u.refuse(http.StatusRequestEntityTooLarge, 0, "body too large")
+		c.refuse(http.StatusRequestEntityTooLarge, 0, "request body too large")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		u.refuse(http.StatusRequestTimeout, slowBodyRetry, "the body did not come in time")
-	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed), errors.As(err, &broken):
-		u.finishLeft("left while sending", "err", err)
+		c.refuse(http.StatusRequestTimeout, slowBodyRetryAfter, "request body timed out")
+	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, net.ErrClosed), errors.As(err, &connFailed):
+		c.finishDisconnected("left while sending", "err", err)
 		panic(http.ErrAbortHandler)
 	default:
-		u.refuse(http.StatusBadRequest, 0, "malformed body: "+err.Error())
+		c.refuse(http.StatusBadRequest, 0, "malformed request body: "+err.Error())
 	}
 }
 
-// fingerprintOf recognizes a request that is sent again by the same caller.
-func (u *run) fingerprintOf() uint64 {
+// computeFingerprint returns a hash that is equal for repeats of a request by the
+// same caller.
+func (c *call) computeFingerprint() uint64 {
 	var hash xxhash.Digest
 	hash.Reset()
-	for _, part := range []string{u.request.Method, "\n", u.request.Host, "\n", u.request.Target, "\n", u.request.Key, "\n"} {
-		_, _ = hash.WriteString(part) // a digest's Write never fails
+	for _, part := range []string{c.request.Method, "\n", c.request.Host, "\n", c.request.Target, "\n", c.request.Key, "\n"} {
+		_, _ = hash.WriteString(part) // Digest.WriteString never fails.
 	}
-	_, _ = hash.Write(u.request.Body)
+	_, _ = hash.Write(c.request.Body)
 	return hash.Sum64()
 }
 
-func (u *run) takeQuota(ctx context.Context) bool {
-	if u.work == nil || u.work.PerSecond <= 0 {
+func (c *call) chargeQuota(ctx context.Context) bool {
+	if c.workspace == nil || c.workspace.PerSecond <= 0 {
 		return true
 	}
 	cost := 1.0
-	if u.work.ByTokens {
-		cost = u.work.PlainTokens
-		if u.request.Counted {
-			cost = float64(u.request.PromptTokens + u.request.OutputTokens)
+	if c.workspace.ByTokens {
+		cost = c.workspace.PlainTokens
+		if c.request.Counted {
+			cost = float64(c.request.PromptTokens + c.request.OutputTokens)
 		}
 	}
-	ok, retryAfter := u.Quota.Take(u.Now(), u.work, cost)
-	for !ok && u.Quota.Settles(u.Now()) {
-		wait.For(ctx, settleEvery)
+	ok, retryAfter := c.Quota.Take(c.Now(), c.workspace, cost)
+	for !ok && c.Quota.Settles(c.Now()) {
+		wait.For(ctx, quotaPollInterval)
 		if ctx.Err() != nil {
-			u.expire(ctx)
+			c.expire(ctx)
 			return false
 		}
-		ok, retryAfter = u.Quota.Take(u.Now(), u.work, cost)
+		ok, retryAfter = c.Quota.Take(c.Now(), c.workspace, cost)
 	}
 	if !ok {
-		u.refuse(http.StatusTooManyRequests, retryAfter, fmt.Sprintf("over the quota of %s: %.0f a second, burst %.0f, this request costs %.0f",
-			u.work.Name, u.work.PerSecond, u.work.Burst, cost))
+		c.refuse(http.StatusTooManyRequests, retryAfter, fmt.Sprintf("quota of workspace %s exceeded: rate %.0f per second, burst %.0f, request cost %.0f",
+			c.workspace.Name, c.workspace.PerSecond, c.workspace.Burst, cost))
 		return false
 	}
-	u.cost = cost
+	c.chargedCost = cost
 	return true
 }
--- a/internal/edge/flow/ending.go
+++ b/internal/edge/flow/ending.go
@@ -11,145 +11,144 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/catalog"
 )
 
-// unplaced ends a request for which there is no place.
-func (u *run) unplaced(ctx context.Context, err error) {
+// handleNoPlacement ends a request for which no upstream is available.
+func (c *call) handleNoPlacement(ctx context.Context, err error) {
 	if ctx.Err() != nil {
-		u.expire(ctx)
+		c.expire(ctx)
 		return
 	}
-	if u.mayHaveRun || u.stream.opened {
-		u.giveUp(err.Error())
+	if c.mayHaveExecuted || c.progress.opened {
+		c.giveUp(err.Error())
 		return
 	}
 	retryAfter := RetryAfter(err)
-	if retryAfter == 0 && u.stop.underWay() {
-		retryAfter = leavingRetry
+	if retryAfter == 0 && c.shutdown.started() {
+		retryAfter = shutdownRetryAfter
 	}
-	u.refuse(http.StatusServiceUnavailable, retryAfter, err.Error())
+	c.refuse(http.StatusServiceUnavailable, retryAfter, err.Error())
 }
 
-// expire ends a request whose time is over or whose caller left.
-func (u *run) expire(ctx context.Context) {
+// expire ends a request whose deadline has passed or whose caller disconnected.
+func (c *call) expire(ctx context.Context) {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
-		u.returnCost()
-		u.finishLeft(u.leftOutcome(), u.lastSend()...)
+		c.refundCost()
+		c.finishDisconnected(c.disconnectOutcome(), c.lastAttempt()...)
 		panic(http.ErrAbortHandler)
 	}
-	u.giveUp("out of time")
+	c.giveUp("deadline exceeded")
 }
 
-// giveUp tells the caller that there will be no answer. Only a request that
-// has not run anywhere is refused as not run.
-func (u *run) giveUp(why string) {
-	if u.stream.opened {
-		u.finish("stream broken off", append(u.lastSend(), "why", why)...)
+// giveUp ends a request without an upstream's answer. It is refused as not
+// executed only if no upstream can have executed it.
+func (c *call) giveUp(reason string) {
+	if c.progress.opened {
+		c.finish("stream broken off", append(c.lastAttempt(), "why", reason)...)
 		panic(http.ErrAbortHandler)
 	}
-	if u.failure != nil {
-		u.passFailure()
+	if c.failedAnswer != nil {
+		c.passFailedAnswer()
 		return
 	}
-	if !u.mayHaveRun {
-		u.refuse(http.StatusServiceUnavailable, declinedRetry, why)
+	if !c.mayHaveExecuted {
+		c.refuse(http.StatusServiceUnavailable, declinedRetryAfter, reason)
 		return
 	}
 	status := http.StatusBadGateway
-	if !u.Now().Before(u.until) {
+	if !c.Now().Before(c.deadline) {
 		status = http.StatusGatewayTimeout
 	}
-	u.Translator.Refuse(u.request, 0, u.w.Header())
-	u.w.WriteHeader(status)
-	u.finish("gave up", append(u.lastSend(), "status", status, "why", why)...)
+	c.Translator.Refuse(c.request, 0, c.w.Header())
+	c.w.WriteHeader(status)
+	c.finish("gave up", append(c.lastAttempt(), "status", status, "why", reason)...)
 }
 
-// refuse answers a request that has not run and will not.
-func (u *run) refuse(status int, retryAfter time.Duration, why string) {
-	u.returnCost()
-	u.Translator.Refuse(u.request, retryAfter, u.w.Header())
-	u.w.WriteHeader(status)
-	u.finish("refused", "status", status, "why", why, "retry-after", retryAfter)
+// refuse answers a request that was not executed and will not be.
+func (c *call) refuse(status int, retryAfter time.Duration, reason string) {
+	c.refundCost()
+	c.Translator.Refuse(c.request, retryAfter, c.w.Header())
+	c.w.WriteHeader(status)
+	c.finish("refused", "status", status, "why", reason, "retry-after", retryAfter)
 }
 
-func (u *run) returnCost() {
-	if u.cost > 0 && !u.mayHaveRun {
-		u.Quota.Return(u.work, u.cost)
-		u.cost = 0
+func (c *call) refundCost() {
+	if c.chargedCost > 0 && !c.mayHaveExecuted {
+		c.Quota.Return(c.workspace, c.chargedCost)
+		c.chargedCost = 0
 	}
 }
 
-// finish writes the line that tells what became of the request. Lines of
-// requests that went well are of the lowest level, so that a bound on the log's
-// volume meets them first.
-func (u *run) finish(outcome string, details ...any) {
-	took := u.Now().Sub(u.arrived)
+// finish counts the request and logs its outcome. Successful requests are logged
+// at the lowest level, so that the log's rate limit drops them first.
+func (c *call) finish(outcome string, details ...any) {
+	took := c.Now().Sub(c.arrivedAt)
 	route := ""
-	if u.route != nil {
-		route = u.route.Name
+	if c.route != nil {
+		route = c.route.Name
 	}
-	u.Metrics.Finished(route, u.tier, outcome, took)
-	args := []any{"outcome", outcome, "route", route, "tier", u.tier, "took", took, "sends", u.sends}
-	if len(u.exclude) > 0 {
-		args = append(args, "tried", slices.Clone(u.exclude))
+	c.Metrics.Finished(route, c.tier, outcome, took)
+	args := []any{"outcome", outcome, "route", route, "tier", c.tier, "took", took, "sends", c.attempts}
+	if len(c.triedUpstreams) > 0 {
+		args = append(args, "tried", slices.Clone(c.triedUpstreams))
 	}
 	level := slog.LevelWarn
-	if outcome == outcomeAnswered && u.sends <= 1 && !u.late(took) {
+	if outcome == outcomeAnswered && c.attempts <= 1 && !c.late(took) {
 		level = slog.LevelDebug
 	}
-	u.logger.Log(context.Background(), level, "request", append(args, details...)...)
+	c.logger.Log(context.Background(), level, "request", append(args, details...)...)
 }
 
-// outcomeAnswered is the outcome of a request that got an upstream's success,
-// outcomeLeft that of one whose caller did not wait for its end, and outcomeCut
-// that of one which this process's end cut.
 const (
+	// outcomeAnswered: an upstream answered with success.
 	outcomeAnswered = "answered"
-	outcomeLeft     = "caller left"
-	outcomeCut      = "cut by the stop"
-	// outcomeClosed is that of a request whose connection this process closed.
+	// outcomeDisconnected: the caller disconnected before the end of the answer.
+	outcomeDisconnected = "caller left"
+	// outcomeCutByShutdown: the process shut down before the end of the answer.
+	outcomeCutByShutdown = "cut by the stop"
+	// outcomeClosed: this process closed the caller's connection.
 	outcomeClosed = "connection closed"
 )
 
-// leftOutcome names why the connection ended: a process that stops closes those
-// that are still open at its end.
-func (u *run) leftOutcome() string {
-	if _, end, leaving := u.Leaving(); leaving && !u.Now().Before(end) {
-		return outcomeCut
+// disconnectOutcome returns the outcome of a request whose connection ended: a
+// process closes all connections that are still open when it exits.
+func (c *call) disconnectOutcome() string {
+	if _, exitAt, leaving := c.Leaving(); leaving && !c.Now().Before(exitAt) {
+		return outcomeCutByShutdown
 	}
-	if u.conn != nil && u.conn.ClosedInFlight() {
+	if c.conn != nil && c.conn.ClosedInFlight() {
 		return outcomeClosed
 	}
-	return outcomeLeft
+	return outcomeDisconnected
 }
 
-// finishLeft writes the line of a request whose connection ended before its
-// answer, with how long it had been idle before the request.
-func (u *run) finishLeft(outcome string, details ...any) {
-	if u.conn != nil {
-		details = append(details, "idle", u.conn.IdleTime())
+// finishDisconnected ends a request whose connection was closed before the answer
+// was complete, and logs how long the connection was idle before the request.
+func (c *call) finishDisconnected(outcome string, details ...any) {
+	if c.conn != nil {
+		details = append(details, "idle", c.conn.IdleTime())
 	}
-	u.finish(outcome, details...)
+	c.finish(outcome, details...)
 }
 
-// lastSend is what a request's last line tells of its last send, if there was
-// one: where it went, how far it got, its lengths and what it waited for. Without
-// it, a caller who left a stream after ten seconds left no sign of the slow
-// engine that had it.
-func (u *run) lastSend() []any {
-	if u.upstream == "" {
+// lastAttempt returns the log attributes of the last attempt, if there was one:
+// its upstream, progress, token counts and waiting times. They show which slow
+// engine ran a stream that its caller abandoned.
+func (c *call) lastAttempt() []any {
+	if c.upstream == "" {
 		return nil
 	}
-	details := []any{"upstream", u.upstream, "placed", u.placed, "first-event", u.firstEvent}
-	if u.route.Kind != catalog.Streaming {
+	details := []any{"upstream", c.upstream, "placed", c.placementWait, "first-event", c.firstEvent}
+	if c.route.Kind != catalog.Streaming {
 		return details
 	}
-	return append(details, "last-event", u.stream.last, "longest-gap", u.longestGap,
-		"prompt", u.request.PromptTokens, "output", u.request.OutputTokens, "hint", u.request.LengthHint)
+	return append(details, "last-event", c.progress.lastEventID, "longest-gap", c.longestGap,
+		"prompt", c.request.PromptTokens, "output", c.request.OutputTokens, "hint", c.request.LengthHint)
 }
 
-// late tells whether the answer came after its objective.
-func (u *run) late(took time.Duration) bool {
-	if u.route.Kind != catalog.Streaming {
-		return took > u.route.Objective
+// late reports whether the answer missed the route's objective or the limit on
+// gaps between events.
+func (c *call) late(took time.Duration) bool {
+	if c.route.Kind != catalog.Streaming {
+		return took > c.route.Objective
 	}
-	return u.placed+u.firstEvent > u.route.Objective || (u.route.MaxGap > 0 && u.longestGap > u.route.MaxGap)
+	return c.placementWait+c.firstEvent > c.route.Objective || (c.route.MaxGap > 0 && c.longestGap > c.route.MaxGap)
 }
--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	// unconfiguredRetry is when a caller may come back to a process that knows
-	// no configuration yet; reading it takes some 10 ms once the store answers.
-	unconfiguredRetry = 500 * time.Millisecond
-	// unreachedMost bounds the upstreams that refuse a connection before a
-	// request gives up: it costs a round trip each.
-	unreachedMost = 5
-	// declinedRetry is told to callers whose request an upstream declined.
-	declinedRetry = 100 * time.Millisecond
-	// slowBodyRetry is told to callers whose body did not come in time.
-	slowBodyRetry = 100 * time.Millisecond
-	// crashRetry is told to callers of a request that crashes upstreams.
-	crashRetry = time.Minute
-	// againWithin is how soon a request that was sent before must go on. Callers
-	// leave a stream that is silent for two seconds; the rest is for noticing
-	// that the first upstream broke off.
-	againWithin = 1200 * time.Millisecond
-	// settleEvery is how often a request is tried again that a new process holds
-	// until it hears what is left of the quotas.
-	settleEvery = 10 * time.Millisecond
-	// defaultLeft bounds a request when neither caller nor route name a time.
-	defaultLeft = time.Minute
+	// unconfiguredRetryAfter is the Retry-After of a process that has not loaded a
+	// configuration yet; loading takes about 10 ms once the store responds.
+	unconfiguredRetryAfter = 500 * time.Millisecond
+	// maxUnreachable limits how many upstreams may refuse a connection before
+	// the request fails; each of them costs a round trip.
+	maxUnreachable = 5
+	// declinedRetryAfter is the Retry-After of requests that upstreams declined.
+	declinedRetryAfter = 100 * time.Millisecond
+	// slowBodyRetryAfter is the Retry-After of requests whose body timed out.
+	slowBodyRetryAfter = 100 * time.Millisecond
+	// crashRetryAfter is the Retry-After of requests that crash upstreams.
+	crashRetryAfter = time.Minute
+	// resumeWithin is the time in which a request that was already sent once must
+	// make progress again. Callers abandon a stream after two seconds of silence;
+	// the difference is spent on detecting the failure of the first upstream.
+	resumeWithin = 1200 * time.Millisecond
+	// quotaPollInterval is how often a held request retries the quota while a
+	// newly started process waits for the usage totals of the fleet.
+	quotaPollInterval = 10 * time.Millisecond
+	// defaultTimeout applies if neither the caller nor the route sets a timeout.
+	defaultTimeout = time.Minute
 )
 
-// Parts are what a Flow works with.
+// Parts holds the dependencies of a Flow.
 type Parts struct {
 	Translator Translator
 	Client     *exchange.Client
-	// Catalog returns the configuration in force, or nil before the first.
+	// Catalog returns the active configuration, or nil before the first is loaded.
 	Catalog func() *catalog.Catalog
 	Picker  Picker
 	Quota   Quota
@@ -52,349 +52,353 @@
 	Metrics Metrics
 	Logger  *slog.Logger
 	Now     func() time.Time
-	// Leaving tells whether the process stops, since when, and when it ends.
+	// Leaving reports whether the process is shutting down, since when, and when
+	// it will exit.
 	Leaving func() (since, until time.Time, leaving bool)
-	// Elsewhere tells whether another process takes requests that this one
-	// refuses; nil tells that none does.
+	// Elsewhere reports whether another process accepts the requests that this
+	// one refuses; if nil, none does.
 	Elsewhere func() bool
 }
 
-// Metrics takes counts and latencies.
+// Metrics records counts and latencies.
 type Metrics interface {
-	// Finished counts a request by what its caller was told.
+	// Finished counts a request by its outcome for the caller.
 	Finished(route string, tier int, outcome string, took time.Duration)
-	// Sent counts a send by what it came to.
+	// Sent counts an attempt by its outcome.
 	Sent(service string, o Outcome)
-	// FirstEvent takes the time to a stream's first event.
+	// FirstEvent records the time to the first event of a stream.
 	FirstEvent(tier int, took time.Duration)
 }
 
-// Flow serves callers' requests. It implements http.Handler.
+// Flow serves callers' requests. It implements http.Handler and is safe for
+// concurrent use.
 type Flow struct{ Parts }
 
-// New returns a flow of the parts.
+// New returns a Flow with the given dependencies.
 func New(parts Parts) *Flow { return &Flow{Parts: parts} }
 
-// run is one caller's request on its way.
-type run struct {
+// call is the state of one caller's request.
+type call struct {
 	*Flow
 	w http.ResponseWriter
-	// conn is the caller's connection; it may be nil.
-	conn    *ingress.Conn
-	request Request
-	catalog *catalog.Catalog
-	route   *catalog.Route
-	work    *catalog.Workspace
-	tier    int
-	arrived time.Time
-	until   time.Time
-	stop    stopping
-	cost    float64
-	// sends counts sends of which a byte left; mayHaveRun tells that one of
-	// them may have run.
-	sends       int
-	unreached   int
-	mayHaveRun  bool
-	exclude     []string
-	fingerprint uint64
-	// upstream, placed, firstEvent and longestGap are of the last send: where it
-	// went, the wait for its place, the time to its first event and the longest
-	// pause after that.
-	upstream   string
-	sentAt     time.Time
-	placed     time.Duration
-	firstEvent time.Duration
-	longestGap time.Duration
-	events     int
-	// failure is an upstream's answer that is told if no other try succeeds.
-	failure     *exchange.Answer
-	failureBody []byte
-	stream      relay
-	logger      *slog.Logger
+	// conn is the caller's connection, which may be nil.
+	conn        *ingress.Conn
+	request     Request
+	catalog     *catalog.Catalog
+	route       *catalog.Route
+	workspace   *catalog.Workspace
+	tier        int
+	arrivedAt   time.Time
+	deadline    time.Time
+	shutdown    shutdownWindow
+	chargedCost float64
+	// attempts counts the sends of which at least one byte left; mayHaveExecuted
+	// reports that an upstream may have executed one of them.
+	attempts        int
+	unreachable     int
+	mayHaveExecuted bool
+	triedUpstreams  []string
+	fingerprint     uint64
+	// upstream, placementWait, firstEvent and longestGap describe the last attempt:
+	// its upstream, the time spent waiting for a placement, the time to the first
+	// event and the longest pause between later events.
+	upstream      string
+	sentAt        time.Time
+	placementWait time.Duration
+	firstEvent    time.Duration
+	longestGap    time.Duration
+	events        int
+	// failedAnswer is an upstream's error response, which is passed on if no other
+	// attempt succeeds.
+	failedAnswer *exchange.Answer
+	failedBody   []byte
+	progress     streamProgress
+	logger       *slog.Logger
 }
 
 // ServeHTTP implements http.Handler.
 func (f *Flow) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := f.Now()
-	u := &run{Flow: f, w: w, request: f.Translator.Read(r), arrived: now, conn: ingress.ConnOf(r.Context())}
-	u.logger = f.Logger.With("id", u.request.ID)
-	since, end, leaving := f.Leaving()
+	c := &call{Flow: f, w: w, request: f.Translator.Read(r), arrivedAt: now, conn: ingress.ConnOf(r.Context())}
+	c.logger = f.Logger.With("id", c.request.ID)
+	since, exitAt, leaving := f.Leaving()
 	if leaving {
 		w.Header().Set("Connection", "close")
-		u.stop = stopping{since: since, end: end}
+		c.shutdown = shutdownWindow{startedAt: since, exitAt: exitAt}
 	}
-	if !u.admit() {
+	if !c.admit() {
 		return
 	}
-	left := u.route.Timeout
-	if left <= 0 {
-		left = defaultLeft
+	timeout := c.route.Timeout
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	if u.request.Deadline > 0 {
-		left = min(left, u.request.Deadline)
+	if c.request.Deadline > 0 {
+		timeout = min(timeout, c.request.Deadline)
 	}
-	u.until = now.Add(left)
-	if !u.fits() {
-		u.refuse(http.StatusServiceUnavailable, leavingRetry, "this process stops before the request could end")
+	c.deadline = now.Add(timeout)
+	if !c.fitsBeforeExit() {
+		c.refuse(http.StatusServiceUnavailable, shutdownRetryAfter, "this process shuts down before the request could complete")
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), u.until)
+	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
-	if !u.readBody(r) {
+	if !c.readBody(r) {
 		return
 	}
-	u.fingerprint = u.fingerprintOf()
-	if f.Crashes.Blocked(now, u.fingerprint) {
-		u.refuse(http.StatusServiceUnavailable, crashRetry, "crashes upstreams")
+	c.fingerprint = c.computeFingerprint()
+	if f.Crashes.Blocked(now, c.fingerprint) {
+		c.refuse(http.StatusServiceUnavailable, crashRetryAfter, "the request crashes upstreams")
 		return
 	}
-	if !u.takeQuota(ctx) {
+	if !c.chargeQuota(ctx) {
 		return
 	}
-	u.try(ctx)
+	c.attemptAll(ctx)
 }
 
-// try sends the request until it is answered or nothing more may be done.
-func (u *run) try(ctx context.Context) {
-	service := u.target()
+// attemptAll sends the request until it is answered or no attempt is left.
+func (c *call) attemptAll(ctx context.Context) {
+	service := c.targetService()
 	for {
-		now := u.Now()
-		if now.After(u.until) || ctx.Err() != nil {
-			u.expire(ctx)
+		now := c.Now()
+		if now.After(c.deadline) || ctx.Err() != nil {
+			c.expire(ctx)
 			return
 		}
-		place, err := u.Picker.Pick(ctx, now, u.ask(now, service))
-		u.placed = u.Now().Sub(now)
+		place, err := c.Picker.Pick(ctx, now, c.placementRequest(now, service))
+		c.placementWait = c.Now().Sub(now)
 		if err != nil {
-			u.unplaced(ctx, err)
+			c.handleNoPlacement(ctx, err)
 			return
 		}
-		if u.sends == 0 {
-			u.Retries.Sent(now, service)
+		if c.attempts == 0 {
+			c.Retries.Sent(now, service)
 		}
-		outcome := u.send(ctx, place)
-		place.Done(u.Now(), outcome, u.streamedTokens())
-		u.Metrics.Sent(service, outcome)
-		if u.settled(ctx, outcome) {
+		outcome := c.attempt(ctx, place)
+		place.Done(c.Now(), outcome, c.streamedTokens())
+		c.Metrics.Sent(service, outcome)
+		if c.concluded(ctx, outcome) {
 			return
 		}
-		u.exclude = append(u.exclude, place.Upstream().ID)
-		if outcome != Unreached && !u.Retries.Take(u.Now(), service) {
-			u.giveUp("retry budget spent")
+		c.triedUpstreams = append(c.triedUpstreams, place.Upstream().ID)
+		if outcome != Unreached && !c.Retries.Take(c.Now(), service) {
+			c.giveUp("retry budget exhausted")
 			return
 		}
 	}
 }
 
-// streamedTokens is what the last send's stream brought after its first event.
-func (u *run) streamedTokens() int {
-	service := u.catalog.Service(u.target())
-	if u.events < 2 || service == nil || service.Engine == nil {
+// streamedTokens returns the tokens that the last attempt streamed after its
+// first event.
+func (c *call) streamedTokens() int {
+	service := c.catalog.Service(c.targetService())
+	if c.events < 2 || service == nil || service.Engine == nil {
 		return 0
 	}
-	return (u.events - 1) * service.Engine.EventTokens
+	return (c.events - 1) * service.Engine.EventTokens
 }
 
-// target chooses among the route's services by weight. The request's id
-// decides, so that all processes and repeats choose alike.
-func (u *run) target() string {
-	targets := u.route.Targets
+// targetService chooses one of the route's services by weight. The choice depends
+// on the request's ID alone, so that all processes and all retries agree on it.
+func (c *call) targetService() string {
+	targets := c.route.Targets
 	total := 0.0
 	for _, t := range targets {
 		total += t.Weight
 	}
-	at := float64(xxhash.Sum64String(u.request.ID)>>11) / (1 << 53) * total
+	position := float64(xxhash.Sum64String(c.request.ID)>>11) / (1 << 53) * total
 	for _, t := range targets {
-		if at < t.Weight {
+		if position < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		position -= t.Weight
 	}
 	return targets[len(targets)-1].Service
 }
 
-// due returns when the answer's next sign is late. For a request that was sent
-// before, the first moment has mostly passed. Measured by that one alone, a
-// stream whose engine crashed would be refused in the middle as too late, beside
-// callers who have nothing yet, while its own caller still waits for the rest.
-func (u *run) due(now time.Time) time.Time {
-	due := u.arrived.Add(u.route.Objective)
-	if u.sends == 0 {
+// nextEventDue returns the time after which the next event of the answer is late.
+// The objective of a request that was sent before has usually passed already. If
+// it still applied, the scheduler would refuse to resume a stream whose engine
+// crashed, as too late, although its caller still waits for the rest.
+func (c *call) nextEventDue(now time.Time) time.Time {
+	due := c.arrivedAt.Add(c.route.Objective)
+	if c.attempts == 0 {
 		return due
 	}
-	if again := now.Add(againWithin); again.After(due) {
-		return again
+	if resumeDue := now.Add(resumeWithin); resumeDue.After(due) {
+		return resumeDue
 	}
 	return due
 }
 
-func (u *run) ask(now time.Time, service string) Ask {
-	a := Ask{
-		ID: u.request.ID, Service: service, Route: u.route, Tier: u.tier,
-		Due: u.due(now), Until: u.until, Exclude: u.exclude, Again: u.sends > 0,
-		Fingerprint: u.fingerprint,
-	}
-	if u.work != nil {
-		a.Workspace = u.work.Name
-	}
-	if u.request.Counted {
-		a.Prompt, a.Output, a.Parts = u.request.PromptTokens, u.request.OutputTokens, u.request.Parts
-		if u.request.LengthHint > 0 {
-			a.Output = min(a.Output, u.request.LengthHint)
+func (c *call) placementRequest(now time.Time, service string) Ask {
+	req := Ask{
+		ID: c.request.ID, Service: service, Route: c.route, Tier: c.tier,
+		Due: c.nextEventDue(now), Until: c.deadline, Exclude: c.triedUpstreams, Again: c.attempts > 0,
+		Fingerprint: c.fingerprint,
+	}
+	if c.workspace != nil {
+		req.Workspace = c.workspace.Name
+	}
+	if c.request.Counted {
+		req.Prompt, req.Output, req.Parts = c.request.PromptTokens, c.request.OutputTokens, c.request.Parts
+		if c.request.LengthHint > 0 {
+			req.Output = min(req.Output, c.request.LengthHint)
 		}
 	}
-	u.planEnd(&a)
-	return a
+	c.limitToExit(&req)
+	return req
 }
 
-// send makes one send. What it returns other than Answered leaves the answer
-// to the caller open, unless part of it was delivered.
-func (u *run) send(ctx context.Context, place Place) Outcome {
-	now := u.Now()
-	u.sentAt, u.events, u.longestGap = now, 0, 0
-	up := place.Upstream()
-	u.upstream, u.firstEvent = up.ID, 0
+// attempt makes one attempt. For any outcome other than Answered, the caller has not
+// been answered yet, unless part of a stream was delivered.
+func (c *call) attempt(ctx context.Context, place Place) Outcome {
+	now := c.Now()
+	c.sentAt, c.events, c.longestGap = now, 0, 0
+	upstream := place.Upstream()
+	c.upstream, c.firstEvent = upstream.ID, 0
 	workspace := ""
-	if u.work != nil {
-		workspace = u.work.Name
+	if c.workspace != nil {
+		workspace = c.workspace.Name
 	}
-	resume := u.stream.last
-	header := u.Translator.Upstream(u.request, Send{
-		UpstreamID: up.ID, Workspace: workspace, Left: u.until.Sub(now), ResumeAfter: resume,
+	resumeAfter := c.progress.lastEventID
+	header := c.Translator.Upstream(c.request, Send{
+		UpstreamID: upstream.ID, Workspace: workspace, Left: c.deadline.Sub(now), ResumeAfter: resumeAfter,
 	})
-	answer, err := u.Client.Do(ctx, up.Address, exchange.Request{
-		Method: u.request.Method, Target: u.request.Target, Host: u.request.Host, Header: header,
-		Body: u.request.Body, ID: u.request.ID, Unsafe: !u.route.Repeatable(),
+	answer, err := c.Client.Do(ctx, upstream.Address, exchange.Request{
+		Method: c.request.Method, Target: c.request.Target, Host: c.request.Host, Header: header,
+		Body: c.request.Body, ID: c.request.ID, Unsafe: !c.route.Repeatable(),
 	})
 	if err != nil {
-		return u.noAnswer(ctx, place, err)
+		return c.handleNoAnswer(ctx, place, err)
 	}
-	u.sends++
+	c.attempts++
 	if answer.Load != nil {
-		place.Load(u.Now(), *answer.Load)
+		place.Load(c.Now(), *answer.Load)
 	}
 	if answer.NotRun {
-		u.logger.Info("upstream declined", "upstream", up.ID, "status", answer.Status)
+		c.logger.Info("upstream declined the request", "upstream", upstream.ID, "status", answer.Status)
 		answer.Close(false)
 		return Declined
 	}
-	u.mayHaveRun = true
+	c.mayHaveExecuted = true
 	if !answer.Sealed {
-		u.logger.Warn("answer without seal", "upstream", up.ID, "status", answer.Status)
+		c.logger.Warn("answer without a response seal", "upstream", upstream.ID, "status", answer.Status)
 		answer.Close(false)
 		return Broken
 	}
-	return u.deliver(ctx, place, answer)
+	return c.deliver(ctx, place, answer)
 }
 
-func (u *run) noAnswer(ctx context.Context, place Place, err error) Outcome {
-	up := place.Upstream()
+func (c *call) handleNoAnswer(ctx context.Context, place Place, err error) Outcome {
+	upstream := place.Upstream()
 	if errorx.IsOfType(err, exchange.NotSent) {
 		if ctx.Err() != nil {
 			return Left
 		}
-		u.unreached++
-		u.Crashes.Down(u.Now(), up.ID)
-		u.logger.Info("upstream not reached", "upstream", up.ID, "err", err)
+		c.unreachable++
+		c.Crashes.Down(c.Now(), upstream.ID)
+		c.logger.Info("could not connect to upstream", "upstream", upstream.ID, "err", err)
 		return Unreached
 	}
-	u.sends++
-	u.mayHaveRun = true
+	c.attempts++
+	c.mayHaveExecuted = true
 	if ctx.Err() != nil {
 		return Left
 	}
-	u.Crashes.Broke(u.Now(), up.ID, u.fingerprint)
-	u.logger.Warn("answer lost", "upstream", up.ID, "err", err)
+	c.Crashes.Broke(c.Now(), upstream.ID, c.fingerprint)
+	c.logger.Warn("answer lost", "upstream", upstream.ID, "err", err)
 	return Broken
 }
 
-// deliver passes the answer on. A failure that may be tried again elsewhere is
-// held back while another try is allowed.
-func (u *run) deliver(ctx context.Context, place Place, answer *exchange.Answer) Outcome {
+// deliver passes the answer to the caller. A failure is held back while another
+// attempt is allowed.
+func (c *call) deliver(ctx context.Context, place Place, answer *exchange.Answer) Outcome {
 	success := answer.Status >= 200 && answer.Status < 300
-	if success && u.route.Kind == catalog.Streaming {
-		return u.deliverStream(ctx, place, answer)
+	if success && c.route.Kind == catalog.Streaming {
+		return c.deliverStream(ctx, place, answer)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, maxPlainBody))
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswerBytes))
 	if err != nil {
 		answer.Close(false)
 		if ctx.Err() != nil {
 			return Left
 		}
-		u.logger.Warn("answer broke off", "upstream", place.Upstream().ID, "err", err)
+		c.logger.Warn("answer truncated", "upstream", place.Upstream().ID, "err", err)
 		return Broken
 	}
 	answer.Close(true)
-	place.Started(u.Now())
-	if u.stream.opened {
-		// A stream that was resumed got a failure: nothing can be told any
-		// more but that it broke off.
+	place.Started(c.Now())
+	if c.progress.opened {
+		// The response header has already been sent, so a failed resume can only
+		// end in an aborted stream.
 		return Failed
 	}
 	if success {
-		u.writePlain(answer, body)
-		u.finish(outcomeAnswered, "upstream", place.Upstream().ID)
+		c.writePlain(answer, body)
+		c.finish(outcomeAnswered, "upstream", place.Upstream().ID)
 		return Answered
 	}
-	u.failure, u.failureBody = answer, body
-	if answer.Status < http.StatusInternalServerError || !u.mayRepeat() {
-		u.passFailure()
+	c.failedAnswer, c.failedBody = answer, body
+	if answer.Status < http.StatusInternalServerError || !c.mayRetry() {
+		c.passFailedAnswer()
 	}
 	return Failed
 }
 
-// passFailure tells the caller the last failure of an upstream as it is.
-func (u *run) passFailure() {
-	u.writePlain(u.failure, u.failureBody)
-	u.finish("upstream failure", "status", u.failure.Status)
+// passFailedAnswer passes the last error response of an upstream on unchanged.
+func (c *call) passFailedAnswer() {
+	c.writePlain(c.failedAnswer, c.failedBody)
+	c.finish("upstream failure", "status", c.failedAnswer.Status)
 }
 
-// maxPlainBody bounds an answer that is held as a whole.
-const maxPlainBody = 16 << 20
+// maxBufferedAnswerBytes is the most bytes of an answer that is buffered as a whole.
+const maxBufferedAnswerBytes = 16 << 20
 
-func (u *run) writePlain(answer *exchange.Answer, body []byte) {
-	u.Translator.Caller(answer.Header, u.w.Header())
-	u.w.WriteHeader(answer.Status)
-	if _, err := u.w.Write(body); err != nil {
-		u.logger.Info("caller left during the answer", "err", err)
+func (c *call) writePlain(answer *exchange.Answer, body []byte) {
+	c.Translator.Caller(answer.Header, c.w.Header())
+	c.w.WriteHeader(answer.Status)
+	if _, err := c.w.Write(body); err != nil {
+		c.logger.Info("caller disconnected while the answer was written", "err", err)
 	}
-	u.stream.answered = true
+	c.progress.answered = true
 }
 
-// mayRepeat tells whether the rules of the route allow one more send after one
-// that may have run.
-func (u *run) mayRepeat() bool {
-	return u.route.Repeatable() && u.sends < u.route.MaxAttempts && !u.stream.answered
+// mayRetry reports whether the route allows another attempt after one that may
+// have been executed.
+func (c *call) mayRetry() bool {
+	return c.route.Repeatable() && c.attempts < c.route.MaxAttempts && !c.progress.answered
 }
 
-// settled tells whether the request is over after a send, and writes its last
-// answer if none was written.
-func (u *run) settled(ctx context.Context, o Outcome) bool {
-	if u.stream.answered {
+// concluded reports whether the request is over after an attempt, and answers it
+// if it has not been answered yet.
+func (c *call) concluded(ctx context.Context, o Outcome) bool {
+	if c.progress.answered {
 		return true
 	}
 	if ctx.Err() != nil {
-		u.expire(ctx)
+		c.expire(ctx)
 		return true
 	}
 	switch o {
 	case Unreached:
-		if u.unreached >= unreachedMost {
-			u.giveUp("upstreams out of reach")
+		if c.unreachable >= maxUnreachable {
+			c.giveUp("no upstream reachable")
 			return true
 		}
 		return false
 	case Declined:
-		if u.sends < u.route.MaxAttempts {
+		if c.attempts < c.route.MaxAttempts {
 			return false
 		}
-		u.giveUp("declined by upstreams")
+		c.giveUp("declined by upstreams")
 		return true
 	case Failed, Broken:
-		if u.mayRepeat() {
+		if c.mayRetry() {
 			return false
 		}
-		u.giveUp("may have run and may not repeat")
+		c.giveUp("may have been executed and must not be retried")
 		return true
 	}
 	return true
--- a/internal/edge/flow/request.go
+++ b/internal/edge/flow/request.go
@@ -1,6 +1,7 @@
-// Package flow takes one caller's request through its steps: route, key,
-// quota, place, exchange, another try or a resume, answer. It alone decides
-// whether a request may be sent again and what its caller is told.
+// Package flow handles one caller's request: it finds the route, checks API key
+// and quota, obtains a placement on an upstream, sends the request, retries or
+// resumes it, and answers the caller. It alone decides whether a request may be
+// sent again and how the caller is answered.
 package flow
 
 import (
@@ -17,18 +18,18 @@
 
 var namespace = errorx.NewNamespace("flow")
 
-// NoPlace means that no upstream takes the request now; it was not sent.
+// NoPlace is the error of a request that no upstream can accept now. It was not
+// sent.
 var NoPlace = namespace.NewType("no-place")
 
 var retryAfterProperty = errorx.RegisterProperty("retry-after")
 
-// RefusePlace returns a NoPlace error with the time after which another try is
-// worth making.
+// RefusePlace returns a NoPlace error with the time after which to retry.
 func RefusePlace(retryAfter time.Duration, message string, args ...any) error {
 	return NoPlace.New(message, args...).WithProperty(retryAfterProperty, retryAfter)
 }
 
-// RetryAfter returns the time that a NoPlace error names, or 0.
+// RetryAfter returns the retry time of a NoPlace error, or 0 if it has none.
 func RetryAfter(err error) time.Duration {
 	if e := errorx.Cast(err); e != nil {
 		if value, ok := e.Property(retryAfterProperty); ok {
@@ -40,7 +41,7 @@
 	return 0
 }
 
-// Part is one part of a prompt that requests may share.
+// Part is one part of a prompt, which several requests may have in common.
 type Part struct {
 	ID     uint64
 	Tokens int
@@ -51,146 +52,150 @@
 	ID     string
 	Method string
 	Host   string
-	// Path selects the route; Target is path and query byte for byte.
+	// Path selects the route; Target is the path and query, byte for byte.
 	Path   string
 	Target string
-	// Header is what is passed on to an upstream.
+	// Header is the header to forward to an upstream.
 	Header http.Header
 	Key    string
-	// Deadline is how long the caller waits, 0 if it did not say.
+	// Deadline is how long the caller waits, 0 if it is not stated.
 	Deadline time.Duration
-	// Counted requests state the tokens of their prompt and the most they may
-	// generate.
+	// Counted reports that the request states the tokens of its prompt and the
+	// maximum to generate, which are PromptTokens and OutputTokens.
 	Counted      bool
 	PromptTokens int
 	OutputTokens int
 	Parts        []Part
-	// LengthHint is the caller's guess of the tokens generated, 0 if none.
+	// LengthHint is the caller's estimate of the generated tokens, 0 if none.
 	LengthHint int
-	// ResumeAfter is the last event that the caller has of a stream.
+	// ResumeAfter is the ID of the last stream event that the caller received.
 	ResumeAfter string
 	Body        []byte
 }
 
-// Send is what is set anew for each send to an upstream.
+// Send holds the header values that differ between the attempts of a request.
 type Send struct {
-	UpstreamID  string
-	Workspace   string
+	UpstreamID string
+	Workspace  string
+	// Left is the time until the request's deadline.
 	Left        time.Duration
 	ResumeAfter string
 }
 
-// Translator knows the names on the wire.
+// Translator maps between HTTP headers and requests.
 type Translator interface {
-	// Read decodes a caller's header.
+	// Read decodes a caller's request line and header.
 	Read(r *http.Request) Request
-	// Upstream returns the header for a send.
+	// Upstream returns the header of an attempt.
 	Upstream(r Request, s Send) http.Header
-	// Caller copies an upstream's header into an answer.
+	// Caller copies the header of an upstream's answer into that for the caller.
 	Caller(answer, to http.Header)
-	// Refuse sets the header of an answer of the product's own.
+	// Refuse sets the header of an answer that this process gives itself.
 	Refuse(r Request, retryAfter time.Duration, to http.Header)
 }
 
-// Ask is what a place is chosen by.
+// Ask describes a request that needs a place on an upstream.
 type Ask struct {
 	ID        string
 	Service   string
 	Route     *catalog.Route
 	Workspace string
 	Tier      int
-	// Due is when its first event, or that with which it goes on, is late, Until
-	// when its answer is of no use.
-	Due   time.Time
+	// Due is when the first event, or the first after a resume, becomes late.
+	Due time.Time
+	// Until is the deadline, after which the answer is of no use.
 	Until time.Time
-	// Prompt, Output and Parts describe a generation; 0 for other requests.
+	// Prompt and Output are the tokens of a generation's prompt and answer, and
+	// Parts those parts of the prompt that other requests may share. They are zero
+	// for other requests.
 	Prompt int
 	Output int
 	Parts  []Part
-	// Ending tells whether Until is the end of this process.
+	// Ending states whether Until is the exit of this process.
 	Ending Ending
-	// Exclude are upstreams that were tried.
+	// Exclude lists the IDs of upstreams that were already tried.
 	Exclude []string
-	// Fingerprint recognizes a request that its caller sends again.
+	// Fingerprint is equal for repeats of a request by the same caller.
 	Fingerprint uint64
-	// Only and Not bound the versions of the upstream; empty bounds nothing.
+	// Only and Not are the required and the excluded version of the upstream; if
+	// empty, there is none.
 	Only, Not string
-	// Again asks are for requests that were sent before.
+	// Again reports that the request was sent to an upstream before.
 	Again bool
 }
 
-// Allows tells whether an upstream of the version may get the request.
+// Allows reports whether an upstream of the version may serve the request.
 func (a *Ask) Allows(version string) bool {
 	return (a.Only == "" || a.Only == version) && (a.Not == "" || a.Not != version)
 }
 
-// Outcome is what a send came to.
+// Outcome is the result of an attempt.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an attempt.
 const (
-	// Answered: a whole answer came.
+	// Answered: the upstream answered with success, and the answer was delivered.
 	Answered Outcome = iota
-	// Failed: the upstream ran the request and answered with a failure.
+	// Failed: the upstream executed the request and answered with an error.
 	Failed
-	// Declined: the upstream did not run it.
+	// Declined: the upstream answered that it did not execute the request.
 	Declined
 	// Unreached: nothing could be sent.
 	Unreached
-	// Broken: it was sent, and no whole answer came.
+	// Broken: the request was sent, and no complete answer arrived.
 	Broken
-	// Left: the caller left or its time ran out.
+	// Left: the caller disconnected or the deadline passed.
 	Left
 )
 
 var outcomeNames = [...]string{"answered", "failed", "declined", "unreached", "broken", "left"}
 
-// String returns the outcome's name in logs.
+// String returns the outcome's name in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Place is an upstream that may be sent the request, once.
+// Place is the permission to send the request once to an upstream.
 type Place interface {
 	Upstream() roster.Upstream
-	// Load takes what the upstream said of itself.
+	// Load records the load that the upstream reported.
 	Load(now time.Time, load exchange.Load)
-	// Started tells that the first event or answer came.
+	// Started records that the first event or the answer arrived.
 	Started(now time.Time)
-	// Done gives the place back. Tokens is what a stream brought after its
+	// Done returns the place. Tokens is the number of tokens streamed after the
 	// first event.
 	Done(now time.Time, o Outcome, tokens int)
 }
 
-// Picker chooses places. It waits while waiting is worth it, and returns a
-// NoPlace error otherwise.
+// Picker chooses an upstream. It may wait for a free place, and returns a NoPlace
+// error if waiting is not worthwhile.
 type Picker interface {
 	Pick(ctx context.Context, now time.Time, a Ask) (Place, error)
 }
 
-// Quota bounds what a workspace's requests may cost.
+// Quota limits the cost of a workspace's requests.
 type Quota interface {
-	// Take takes the cost, or tells when to come back.
+	// Take charges the cost, or returns when to retry.
 	Take(now time.Time, w *catalog.Workspace, cost float64) (ok bool, retryAfter time.Duration)
-	// Settles tells whether what is left may not be known here yet, and will be in
-	// a moment.
+	// Settles reports whether this process has just started and still waits for
+	// the fleet's usage totals.
 	Settles(now time.Time) bool
-	// Return gives back what a request that has not run took.
+	// Return refunds the cost of a request that was not executed.
 	Return(w *catalog.Workspace, cost float64)
 }
 
-// Retries bounds repeats.
+// Retries limits how often requests are sent again.
 type Retries interface {
-	// Sent notes a first send to the service.
+	// Sent records the first attempt of a request to the service.
 	Sent(now time.Time, service string)
-	// Take tells whether one more send is allowed.
+	// Take reports whether a retry is allowed, and charges it to the budget.
 	Take(now time.Time, service string) bool
 }
 
-// Crashes recognizes requests that crash what runs them.
+// Crashes detects requests that crash the upstreams which execute them.
 type Crashes interface {
-	// Blocked tells whether requests of the fingerprint are refused.
+	// Blocked reports whether requests with the fingerprint are refused.
 	Blocked(now time.Time, fingerprint uint64) bool
-	// Broke notes that an upstream broke off while it had the request.
+	// Broke records that an upstream broke off while it executed the request.
 	Broke(now time.Time, upstream string, fingerprint uint64)
-	// Down notes that nothing listens at an upstream any more.
+	// Down records that an upstream refuses connections.
 	Down(now time.Time, upstream string)
 }
--- a/internal/edge/flow/stream.go
+++ b/internal/edge/flow/stream.go
@@ -14,155 +14,156 @@
 )
 
 const (
-	// eventBuffer is the first size of the buffer for one event.
-	eventBuffer = 1 << 10
-	// maxEvent bounds one event; a stream with a longer one is broken off.
-	maxEvent = 1 << 20
+	eventBufferBytes = 1 << 10
+	// maxEventBytes is the most bytes of one event; longer events abort the stream.
+	maxEventBytes = 1 << 20
 )
 
-var errEventTooLong = errors.New("an event of the stream is too long")
+var errEventTooLong = errors.New("stream event exceeds 1 MiB")
 
-// relay is what the caller has of a stream so far.
-type relay struct {
-	// opened tells that the header went out, answered that the answer is over.
+// streamProgress is what the caller has received of an answer so far.
+type streamProgress struct {
+	// opened reports that the header of a stream was sent, answered that the answer is
+	// complete.
 	opened, answered bool
-	// last is the id of the last event that was passed on whole.
-	last   string
-	number int64
+	// lastEventID is the ID of the last event that was passed on, and lastEventNumber
+	// its value if it is a number.
+	lastEventID     string
+	lastEventNumber int64
 }
 
-// event is one event of a stream, with its closing blank line.
+// event is one event of a stream, including the blank line that ends it.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// eventReader cuts a stream into whole events. An upstream that dies inside an
-// event leaves a piece which is never passed on.
+// eventReader splits a stream into events. It never returns a partial event, as an
+// upstream leaves one that dies within an event.
 type eventReader struct{ reader *bufio.Reader }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{reader: bufio.NewReaderSize(r, eventBuffer)}
+	return &eventReader{reader: bufio.NewReaderSize(r, eventBufferBytes)}
 }
 
-// next returns the next whole event, or io.EOF after the last one, or
-// io.ErrUnexpectedEOF if the stream ended inside an event.
+// next returns the next event, io.EOF after the last one, or io.ErrUnexpectedEOF
+// if the stream ended within an event.
 func (e *eventReader) next() (event, error) {
-	var got event
+	var current event
 	for {
 		line, err := e.reader.ReadSlice('\n')
-		got.raw = append(got.raw, line...)
+		current.raw = append(current.raw, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if len(got.raw) > maxEvent {
+			if len(current.raw) > maxEventBytes {
 				return event{}, errEventTooLong
 			}
 			continue
 		}
 		if err != nil {
-			if errors.Is(err, io.EOF) && len(got.raw) > 0 {
+			if errors.Is(err, io.EOF) && len(current.raw) > 0 {
 				return event{}, io.ErrUnexpectedEOF
 			}
 			return event{}, err
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			if len(bytes.TrimSpace(got.raw)) == 0 {
-				got.raw = got.raw[:0]
+			if len(bytes.TrimSpace(current.raw)) == 0 {
+				current.raw = current.raw[:0]
 				continue
 			}
-			return got, nil
+			return current, nil
 		}
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			got.id = string(bytes.TrimSpace(value))
+			current.id = string(bytes.TrimSpace(value))
 		}
 	}
 }
 
-// deliverStream passes events on as they come. An upstream's stream that goes
-// on where another broke off continues the same answer.
-func (u *run) deliverStream(ctx context.Context, place Place, answer *exchange.Answer) Outcome {
+// deliverStream passes events on as they arrive. A stream that resumes one which
+// another upstream broke off continues the same answer.
+func (c *call) deliverStream(ctx context.Context, place Place, answer *exchange.Answer) Outcome {
 	reader := newEventReader(answer)
 	var eventAt time.Time
 	for {
-		got, err := reader.next()
+		next, err := reader.next()
 		if errors.Is(err, io.EOF) {
 			answer.Close(true)
-			u.endStream(answer)
-			u.finish(outcomeAnswered, append(u.lastSend(), "load", answer.Load)...)
+			c.endStream(answer)
+			c.finish(outcomeAnswered, append(c.lastAttempt(), "load", answer.Load)...)
 			return Answered
 		}
 		if err != nil {
 			answer.Close(false)
-			return u.streamBroke(ctx, place, err)
+			return c.handleBrokenStream(ctx, place, err)
 		}
-		u.events++
-		now := u.Now()
-		if u.events == 1 {
-			u.firstEvent = now.Sub(u.sentAt)
+		c.events++
+		now := c.Now()
+		if c.events == 1 {
+			c.firstEvent = now.Sub(c.sentAt)
 			place.Started(now)
 		} else {
-			u.longestGap = max(u.longestGap, now.Sub(eventAt))
+			c.longestGap = max(c.longestGap, now.Sub(eventAt))
 		}
 		eventAt = now
-		if u.seen(got) {
+		if c.delivered(next) {
 			continue
 		}
-		if err := u.pass(answer, got); err != nil {
+		if err := c.passEvent(answer, next); err != nil {
 			answer.Close(false)
-			u.stream.answered = true
-			u.finishLeft(u.leftOutcome(), append(u.lastSend(), "err", err)...)
+			c.progress.answered = true
+			c.finishDisconnected(c.disconnectOutcome(), append(c.lastAttempt(), "err", err)...)
 			return Left
 		}
 	}
 }
 
-// seen tells whether the caller has the event already: a stream that is resumed
-// may repeat some.
-func (u *run) seen(e event) bool {
-	if u.stream.last == "" || e.id == "" {
+// delivered reports whether the caller already has the event; a resumed stream may
+// repeat some.
+func (c *call) delivered(e event) bool {
+	if c.progress.lastEventID == "" || e.id == "" {
 		return false
 	}
 	number, err := strconv.ParseInt(e.id, 10, 64)
-	return err == nil && number <= u.stream.number
+	return err == nil && number <= c.progress.lastEventNumber
 }
 
-func (u *run) open(answer *exchange.Answer) {
-	if u.stream.opened {
+func (c *call) openStream(answer *exchange.Answer) {
+	if c.progress.opened {
 		return
 	}
-	u.stream.opened = true
-	u.Translator.Caller(answer.Header, u.w.Header())
-	u.w.WriteHeader(answer.Status)
-	u.Metrics.FirstEvent(u.tier, u.Now().Sub(u.arrived))
+	c.progress.opened = true
+	c.Translator.Caller(answer.Header, c.w.Header())
+	c.w.WriteHeader(answer.Status)
+	c.Metrics.FirstEvent(c.tier, c.Now().Sub(c.arrivedAt))
 }
 
-func (u *run) pass(answer *exchange.Answer, e event) error {
-	u.open(answer)
-	if _, err := u.w.Write(e.raw); err != nil {
+func (c *call) passEvent(answer *exchange.Answer, e event) error {
+	c.openStream(answer)
+	if _, err := c.w.Write(e.raw); err != nil {
 		return err
 	}
-	if err := http.NewResponseController(u.w).Flush(); err != nil {
+	if err := http.NewResponseController(c.w).Flush(); err != nil {
 		return err
 	}
 	if e.id != "" {
-		u.stream.last = e.id
+		c.progress.lastEventID = e.id
 		if number, err := strconv.ParseInt(e.id, 10, 64); err == nil {
-			u.stream.number = number
+			c.progress.lastEventNumber = number
 		}
 	}
 	return nil
 }
 
-func (u *run) endStream(answer *exchange.Answer) {
-	u.open(answer)
-	u.stream.answered = true
+func (c *call) endStream(answer *exchange.Answer) {
+	c.openStream(answer)
+	c.progress.answered = true
 }
 
-func (u *run) streamBroke(ctx context.Context, place Place, err error) Outcome {
+func (c *call) handleBrokenStream(ctx context.Context, place Place, err error) Outcome {
 	if ctx.Err() != nil {
 		return Left
 	}
-	u.Crashes.Broke(u.Now(), place.Upstream().ID, u.fingerprint)
-	u.logger.Warn("stream broke off", "upstream", place.Upstream().ID, "after", u.stream.last, "err", err)
+	c.Crashes.Broke(c.Now(), place.Upstream().ID, c.fingerprint)
+	c.logger.Warn("stream broke off", "upstream", place.Upstream().ID, "after", c.progress.lastEventID, "err", err)
 	return Broken
 }
