--- a/internal/edge/exchange/exchange.go
+++ b/internal/edge/exchange/exchange.go
@@ -17,40 +17,40 @@
 
 var namespace = errorx.NewNamespace("exchange")
 
-// What is known of a request that got no answer.
+// The errors state whether a request without an answer may have been executed.
 var (
-	// NotSent: no byte of the request left, so it has not run.
+	// NotSent: no byte of the request was sent, so it was not executed.
 	NotSent = namespace.NewType("not-sent")
-	// Lost: it was sent, and no answer that can be trusted came: it may have
-	// run or may still run.
+	// Lost: the request was sent, and no trustworthy answer arrived. It may have
+	// been executed or may still run.
 	Lost = namespace.NewType("lost")
 )
 
 const (
-	// maxForeign bounds the answers to other requests that are skipped in
-	// front of the one that is due.
-	maxForeign = 3
-	// maxInformational bounds the 1xx answers in front of the real one.
-	maxInformational = 5
-	// keptIdleUnsafe is the longest idle time of a connection for a request
-	// that may not run twice: sent on a connection that the upstream has just
-	// closed, its outcome would be unknown.
-	keptIdleUnsafe = time.Second
+	// maxUnrelatedAnswers is how many answers to other requests are skipped before
+	// the expected one.
+	maxUnrelatedAnswers = 3
+	// maxInformationalAnswers is how many 1xx answers may precede the final one.
+	maxInformationalAnswers = 5
+	// maxIdleNonIdempotent is the longest idle time of a connection that is reused
+	// for a non-idempotent request. If the upstream had just closed the connection,
+	// the outcome of the request would be unknown.
+	maxIdleNonIdempotent = time.Second
 )
 
-// Names are the header names by which an upstream's answer is recognized.
+// Names holds the names of the headers that are read from an upstream's answer.
 type Names struct {
-	// ID is echoed from the request.
+	// ID is the request's ID, which the upstream echoes.
 	ID string
-	// Seal is borne by every answer of an upstream that ran the request.
+	// Seal is set in every answer of an upstream that executed the request.
 	Seal string
-	// NotRun marks an answer to a request that was not run.
+	// NotRun is set in an answer to a request that was not executed.
 	NotRun string
-	// Load is the upstream's running, waiting and slots.
+	// Load states the upstream's running and waiting requests and its slots.
 	Load string
 }
 
-// Request is one request as it goes to an upstream.
+// Request is a request to an upstream.
 type Request struct {
 	Method string
 	// Target is the path and query, byte for byte as the caller sent them.
@@ -58,71 +58,76 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the request's id, which the answer must echo.
+	// ID is the request's ID, which the answer must echo.
 	ID string
-	// Unsafe requests may not run twice.
-	Unsafe bool
+	// NonIdempotent reports that the request must not be executed twice.
+	NonIdempotent bool
 }
 
-// Load is what an upstream says of itself in an answer.
+// Load is the load that an upstream states in an answer.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Answer is an upstream's answer, its body not yet read.
+// Answer is an upstream's answer, whose body has not been read yet.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Sealed answers are those of an upstream that ran the request.
+	// Sealed reports that the answer has the seal of an upstream that executed the
+	// request.
 	Sealed bool
-	// NotRun answers prove that the request has not run there.
+	// NotRun reports that the upstream did not execute the request.
 	NotRun bool
 	Load   *Load
 
-	body  io.ReadCloser
-	conn  *conn
-	pool  *Pool
-	now   func() time.Time
-	clean bool
-	done  atomic.Bool
-	stop  func() bool
+	body io.ReadCloser
+	conn *conn
+	pool *Pool
+	now  func() time.Time
+	// reusable reports that the connection may be reused after the body.
+	reusable bool
+	closed   atomic.Bool
+	// stopContextWatch ends the closing of the connection by the context. It returns
+	// false if the context has already ended.
+	stopContextWatch func() bool
 }
 
-// Client sends requests.
+// Client sends requests to upstreams.
 type Client struct {
 	pool  *Pool
 	names Names
 	now   func() time.Time
 }
 
-// NewClient returns a client over the pool.
+// NewClient returns a client that uses the pool's connections.
 func NewClient(pool *Pool, names Names, now func() time.Time) *Client {
 	return &Client{pool: pool, names: names, now: now}
 }
 
-// Do sends the request to the address and returns the answer's header. When
-// the context ends, the connection is closed, which stops the upstream's work.
+// Do sends the request to the address and returns the answer once its header has
+// arrived. When the context ends, the connection is closed, so that the upstream
+// stops working on the request.
 func (c *Client) Do(ctx context.Context, address string, r Request) (*Answer, error) {
 	maxIdle := time.Hour
-	if r.Unsafe {
-		maxIdle = keptIdleUnsafe
+	if r.NonIdempotent {
+		maxIdle = maxIdleNonIdempotent
 	}
-	conn, err := c.pool.take(ctx, c.now(), address, maxIdle)
+	conn, err := c.pool.acquire(ctx, c.now(), address, maxIdle)
 	if err != nil {
 		return nil, NotSent.Wrap(err, "no connection to %s", address)
 	}
-	stop := context.AfterFunc(ctx, func() { closeQuietly(conn) })
+	stopContextWatch := context.AfterFunc(ctx, func() { closeQuietly(conn) })
 	answer, err := c.roundTrip(conn, r)
 	if err != nil {
-		stop()
+		stopContextWatch()
 		closeQuietly(conn)
 		return nil, err
 	}
-	answer.stop = stop
+	answer.stopContextWatch = stopContextWatch
 	return answer, nil
 }
 
-// countingConn tells whether any byte left.
+// countingConn counts the bytes that were sent.
 type countingConn struct {
 	net.Conn
 	sent int
@@ -138,17 +143,17 @@
 	counting := &countingConn{Conn: conn.Conn}
 	request := &http.Request{Method: r.Method}
 	written := make(chan error, 1)
-	if len(r.Body) <= inlineBody {
-		written <- r.write(counting)
+	if len(r.Body) <= inlineBodyBytes {
+		written <- r.writeTo(counting)
 	} else {
-		go func() { written <- r.write(counting) }()
+		go func() { written <- r.writeTo(counting) }()
 	}
-	//nolint:bodyclose // The body is the Answer's; its Close ends or keeps the connection.
+	//nolint:bodyclose // Answer.Close closes or keeps the connection.
 	response, err := c.readAnswer(conn, request, r.ID)
-	finished := false
+	bodySent := false
 	select {
 	case writeErr := <-written:
-		finished = writeErr == nil
+		bodySent = writeErr == nil
 		if writeErr != nil && counting.sent == 0 {
 			return nil, NotSent.Wrap(writeErr, "nothing could be sent to %s", conn.address)
 		}
@@ -158,7 +163,7 @@
 		return nil, Lost.Wrap(err, "no answer from %s", conn.address)
 	}
 	if response.Header.Get("Content-Encoding") != "" {
-		return nil, Lost.New("the answer from %s is encoded, which nobody asked for", conn.address)
+		return nil, Lost.New("answer from %s has an unrequested Content-Encoding", conn.address)
 	}
 	answer := &Answer{
 		Status: response.StatusCode, Header: response.Header,
@@ -166,21 +171,22 @@
 		NotRun: response.Header.Get(c.names.NotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest,
 		Load:   parseLoad(response.Header.Get(c.names.Load)),
 		body:   response.Body, conn: conn, pool: c.pool, now: c.now,
-		// An upstream that answers before the body is sent reads on from what
-		// follows, so that connection must not carry another request.
-		clean: finished && !response.Close,
+		// An upstream that answers before the whole body was sent takes what
+		// follows for the rest of it, so the connection must not be reused.
+		reusable: bodySent && !response.Close,
 	}
 	return answer, nil
 }
 
-// inlineBody is what is written before the answer is read: it fits a socket's
-// buffer, so that an upstream that answers early cannot block the writing.
-const inlineBody = 16 << 10
+// inlineBodyBytes is the largest body that is written before the answer is read. It
+// fits into a socket's buffer, so that an upstream that answers early cannot block
+// the write.
+const inlineBodyBytes = 16 << 10
 
-// write sends the request as it is, without what net/http would add or
-// normalise: the upstream must get the caller's target byte for byte.
-func (r Request) write(w io.Writer) error {
-	buffered := bufio.NewWriterSize(w, inlineBody+4096)
+// writeTo sends the request without the additions and normalizations of net/http: the
+// upstream must get the caller's target byte for byte.
+func (r Request) writeTo(w io.Writer) error {
+	buffered := bufio.NewWriterSize(w, inlineBodyBytes+4096)
 	for _, part := range []string{r.Method, " ", r.Target, " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
 		if _, err := buffered.WriteString(part); err != nil {
 			return err
@@ -204,11 +210,10 @@
 	return buffered.Flush()
 }
 
-// readAnswer reads the header of the answer to the request of the id. Answers
-// to other requests, which a faulty upstream sends late, are read and dropped
-// in front of it.
+// readAnswer reads the header of the answer to the request with the ID. It skips
+// answers to other requests, which a faulty upstream sends late.
 func (c *Client) readAnswer(conn *conn, request *http.Request, id string) (*http.Response, error) {
-	foreign, informational := 0, 0
+	unrelated, informational := 0, 0
 	for {
 		response, err := http.ReadResponse(conn.reader, request)
 		if err != nil {
@@ -216,19 +221,19 @@
 		}
 		if response.StatusCode < http.StatusOK {
 			informational++
-			if informational > maxInformational {
-				return nil, errors.New("too many informational answers")
+			if informational > maxInformationalAnswers {
+				return nil, errors.New("too many 1xx answers")
 			}
 			continue
 		}
-		got := response.Header.Get(c.names.ID)
-		if got == id || (got == "" && response.Header.Get(c.names.Seal) == "") {
-			response.Close = response.Close || foreign > 0
+		answerID := response.Header.Get(c.names.ID)
+		if answerID == id || (answerID == "" && response.Header.Get(c.names.Seal) == "") {
+			response.Close = response.Close || unrelated > 0
 			return response, nil
 		}
-		foreign++
-		if foreign > maxForeign || response.ContentLength < 0 {
-			return nil, errors.New("an answer to another request came")
+		unrelated++
+		if unrelated > maxUnrelatedAnswers || response.ContentLength < 0 {
+			return nil, errors.New("received an answer to another request")
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, err
@@ -236,26 +241,28 @@
 	}
 }
 
-// Read reads the answer's body. It returns io.EOF only at the body's true end;
-// a body without a length ends with its connection, and not with a reset.
+// Read reads the answer's body. It returns io.EOF only at the actual end of the body.
+// A body without a length ends when the connection is closed, but not when it is
+// reset.
 func (a *Answer) Read(p []byte) (int, error) { return a.body.Read(p) }
 
-// Close ends the exchange. After a whole body the connection is kept for
-// another request; otherwise it is closed, which stops the upstream's work.
+// Close ends the exchange. If the body was read completely, the connection is kept
+// for another request. Otherwise it is closed, so that the upstream stops working on
+// the request.
 func (a *Answer) Close(whole bool) {
-	if a.done.Swap(true) {
+	if a.closed.Swap(true) {
 		return
 	}
-	stopped := a.stop()
-	if !whole || !a.clean || !stopped {
+	stopped := a.stopContextWatch()
+	if !whole || !a.reusable || !stopped {
 		closeQuietly(a.conn)
 		return
 	}
-	a.pool.put(a.now(), a.conn, statedTimeout(a.Header))
+	a.pool.release(a.now(), a.conn, keepAliveTimeout(a.Header))
 }
 
-// statedTimeout returns the idle time-out that a Keep-Alive header states.
-func statedTimeout(header http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout of a Keep-Alive header, or 0.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || name != "timeout" {
--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -1,6 +1,6 @@
-// Package exchange sends one request to one upstream on one connection and
-// reads the answer. It never sends a request twice, and it tells what is known
-// of the request when an answer does not come.
+// Package exchange sends one request to one upstream on one connection and reads
+// the answer. It never sends a request twice. If no answer arrives, its error states
+// whether the request may have been executed.
 package exchange
 
 import (
@@ -13,17 +13,18 @@
 )
 
 const (
-	// readBuffer holds an answer's header; events of a stream are some 60 bytes.
-	readBuffer = 4 << 10
-	// idleDefault is how long a connection is kept for which the upstream
-	// states no time-out; services commonly close after five seconds.
-	idleDefault = 4 * time.Second
-	// idleMargin is kept to an upstream's stated time-out, so that a request
-	// does not cross the upstream's close: a round trip and some.
+	// readBufferBytes holds an answer's header; events of a stream have about 60 bytes.
+	readBufferBytes = 4 << 10
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream
+	// states no timeout; services commonly close connections after five seconds.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the timeout that an upstream states, so that a
+	// request does not cross the closing of the connection. It is longer than a
+	// round trip.
 	idleMargin = time.Second
-	// idlePerAddress bounds what is kept to one upstream; an engine runs some
-	// 12 requests at once.
-	idlePerAddress = 16
+	// maxIdlePerAddress limits the idle connections to one upstream; an engine runs
+	// about 12 requests at once.
+	maxIdlePerAddress = 16
 )
 
 // conn is one connection to an upstream.
@@ -36,7 +37,7 @@
 	reused    bool
 }
 
-// Dial opens a connection.
+// Dial opens a connection, like DialContext of net.Dialer.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Pool keeps idle connections to upstreams.
@@ -53,14 +54,14 @@
 	return &Pool{dial: dial, idle: make(map[string][]*conn)}
 }
 
-// take returns an idle connection that is younger than maxIdle, or a new one.
-func (p *Pool) take(ctx context.Context, now time.Time, address string, maxIdle time.Duration) (*conn, error) {
+// acquire returns a connection that was idle for less than maxIdle, or a new one.
+func (p *Pool) acquire(ctx context.Context, now time.Time, address string, maxIdle time.Duration) (*conn, error) {
 	for {
 		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		if now.Before(c.idleUntil) && now.Sub(c.idleSince) < maxIdle && quiet(c) {
+		if now.Before(c.idleUntil) && now.Sub(c.idleSince) < maxIdle && hasNoInput(c) {
 			c.reused = true
 			return c, nil
 		}
@@ -70,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
 func (p *Pool) pop(address string) *conn {
@@ -85,23 +86,24 @@
 	return c
 }
 
-// put keeps a connection whose last answer was read to its end.
-func (p *Pool) put(now time.Time, c *conn, stated time.Duration) {
-	keep := idleDefault
-	if stated > 0 {
-		keep = stated - idleMargin
+// release keeps a connection whose last answer was read completely. StatedTimeout is
+// the idle timeout that the upstream states, or 0.
+func (p *Pool) release(now time.Time, c *conn, statedTimeout time.Duration) {
+	timeout := defaultIdleTimeout
+	if statedTimeout > 0 {
+		timeout = statedTimeout - idleMargin
 	}
-	c.idleSince, c.idleUntil = now, now.Add(keep)
+	c.idleSince, c.idleUntil = now, now.Add(timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || keep <= 0 || c.reader.Buffered() > 0 || len(p.idle[c.address]) >= idlePerAddress {
+	if p.closed || timeout <= 0 || c.reader.Buffered() > 0 || len(p.idle[c.address]) >= maxIdlePerAddress {
 		closeQuietly(c)
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes connections whose idle time is over.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,7 +124,7 @@
 	}
 }
 
-// Close closes all idle connections and keeps none from now on.
+// Close closes all idle connections. Connections that are returned later are closed.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,31 +138,31 @@
 	return nil
 }
 
-// quiet tells whether nothing has come on an idle connection: neither its end
-// nor bytes, which would belong to no request and be taken for the next answer.
-func quiet(c *conn) bool {
+// hasNoInput reports whether an idle connection has received nothing: neither its end
+// nor bytes, which would be taken for the answer to the next request.
+func hasNoInput(c *conn) bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	waiting := false
-	var one [1]byte
+	empty := false
+	var buffer [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, readErr := syscall.Read(int(fd), one[:])
-		waiting = readErr == syscall.EAGAIN
+		_, readErr := syscall.Read(int(fd), buffer[:])
+		empty = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && waiting
+	return err == nil && empty
 }
 
 func closeQuietly(c net.Conn) {
-	// The connection is given up; there is nobody to tell of a failed close.
+	// An error does not matter, since the connection is no longer used.
 	_ = c.Close()
 }
--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -268,7 +268,7 @@
 	})
 	answer, err := c.Client.Do(ctx, upstream.Address, exchange.Request{
 		Method: c.request.Method, Target: c.request.Target, Host: c.request.Host, Header: header,
-		Body: c.request.Body, ID: c.request.ID, Unsafe: !c.route.Repeatable(),
+		Body: c.request.Body, ID: c.request.ID, NonIdempotent: !c.route.Repeatable(),
 	})
 	if err != nil {
 		return c.handleNoAnswer(ctx, place, err)
