--- a/internal/edge/ingress/conn.go
+++ b/internal/edge/ingress/conn.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// finalReadTimeout bounds one more read of a connection that is to end as
-	// idle, for a request that arrived while the process was not scheduled.
+	// finalReadTimeout limits the last read of a connection before it is closed as
+	// idle. It finds a request that arrived while the process was not scheduled.
 	finalReadTimeout = 50 * time.Millisecond
-	// drainHeaderTimeout is how long a header may take once the server drains.
+	// drainHeaderTimeout is how long a header may take while the server drains.
 	drainHeaderTimeout = time.Second
 )
 
-// Conn is a caller's connection. It enforces the idle limit, and the drain of a
-// stop, by the deadline of the read that awaits the next request. Closing it from
-// another goroutine could cut a request that has just been read.
+// Conn is a caller's connection. It enforces the idle limit and the drain of a
+// shutdown by the deadline of the read that waits for the next request. Closing it
+// from another goroutine could drop a request that has just been read.
 type Conn struct {
 	net.Conn
 	server *Server
 
 	mu sync.Mutex
-	// idleSince is when the connection began to await a request, zero while one
+	// idleSince is when the connection began to wait for a request, zero while one
 	// is in flight.
 	idleSince time.Time
-	// idleTime is how long it awaited the last request.
+	// idleTime is how long it waited for the last request.
 	idleTime time.Duration
-	// headerUntil is when the header of which a part was read must be whole, zero
-	// while none is read.
-	headerUntil time.Time
-	// inFlight tells that the handler has a request, and closedInFlight that this
-	// process closed the connection before it had answered.
+	// headerDeadline is when a partially read header must be complete, zero if there
+	// is none.
+	headerDeadline time.Time
+	// inFlight reports that the handler has a request, closedInFlight that this
+	// process closed the connection before the request was answered.
 	inFlight, closed, closedInFlight bool
 }
 
@@ -59,8 +59,8 @@
 	}
 }
 
-// setIdleDeadline bounds a read that awaits a request, and tells whether it is
-// the final one.
+// setIdleDeadline sets the deadline of a read that waits for a request, and reports
+// whether it is the last read before the connection is closed as idle.
 func (c *Conn) setIdleDeadline(now time.Time) (final bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,27 +74,28 @@
 	return final, c.Conn.SetReadDeadline(deadline)
 }
 
-// SetReadDeadline implements net.Conn. http.Server lifts all bounds when it begins to
-// parse a header, of which a part may have been read before.
+// SetReadDeadline implements net.Conn. It keeps the header deadline, because
+// http.Server removes the read deadline when it begins to parse a header, of which
+// a part may have been read before.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.headerUntil.IsZero() && (t.IsZero() || t.After(c.headerUntil)) {
-		t = c.headerUntil
+	if !c.headerDeadline.IsZero() && (t.IsZero() || t.After(c.headerDeadline)) {
+		t = c.headerDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// interrupt wakes a read that awaits a request, so that it sees the drain, and
-// bounds one that awaits the rest of a header.
+// interrupt wakes a read that waits for a request, so that it notices the drain, and
+// shortens the deadline of one that waits for the rest of a header.
 func (c *Conn) interrupt(now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case !c.idleSince.IsZero():
 		return c.Conn.SetReadDeadline(now)
-	case !c.headerUntil.IsZero():
-		return c.boundHeaderLocked(now)
+	case !c.headerDeadline.IsZero():
+		return c.setHeaderDeadlineLocked(now)
 	}
 	return nil
 }
@@ -109,7 +110,7 @@
 	return c.Conn.Close()
 }
 
-// setInFlight notes that the handler has a request, or has none any more.
+// setInFlight records whether the handler has a request.
 func (c *Conn) setInFlight(inFlight bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +118,8 @@
 	c.countClosedInFlightLocked()
 }
 
-// countClosedInFlightLocked counts a closed connection with a request, once.
+// countClosedInFlightLocked counts a connection that is closed with a request in
+// flight, once.
 func (c *Conn) countClosedInFlightLocked() {
 	if c.closed && c.inFlight && !c.closedInFlight {
 		c.closedInFlight = true
@@ -125,8 +127,8 @@
 	}
 }
 
-// CloseWrite tells the caller that no more will come, so that it reads an answer
-// to its end before the connection is closed.
+// CloseWrite shuts down the writing side, so that the caller reads an answer to its
+// end before the connection is closed.
 func (c *Conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -134,15 +136,15 @@
 	return errors.ErrUnsupported
 }
 
-// ClosedInFlight tells whether this process closed the connection while a request
-// of it was in flight.
+// ClosedInFlight reports whether this process closed the connection while a request
+// was in flight.
 func (c *Conn) ClosedInFlight() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closedInFlight
 }
 
-// IdleTime is how long the connection was idle before the last request.
+// IdleTime returns how long the connection was idle before the last request.
 func (c *Conn) IdleTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,37 +163,39 @@
 	c.idleSince = now
 }
 
-// beginHeader bounds a header whose first bytes were read, by the limit that is in
-// force then; http.Server's own does not change while it runs.
+// beginHeader sets the deadline of a header whose first bytes were read, by the
+// limit that is configured then. ReadHeaderTimeout of http.Server cannot change
+// while it runs.
 func (c *Conn) beginHeader(now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.endIdleLocked(now) {
 		return nil
 	}
-	return c.boundHeaderLocked(now)
+	return c.setHeaderDeadlineLocked(now)
 }
 
-// boundHeaderLocked sets when the header must be whole; it never puts that off.
-func (c *Conn) boundHeaderLocked(now time.Time) error {
+// setHeaderDeadlineLocked sets or shortens the deadline of the header. It never
+// extends it.
+func (c *Conn) setHeaderDeadlineLocked(now time.Time) error {
 	until := now.Add(c.server.headerLimit())
-	if c.headerUntil.IsZero() || until.Before(c.headerUntil) {
-		c.headerUntil = until
+	if c.headerDeadline.IsZero() || until.Before(c.headerDeadline) {
+		c.headerDeadline = until
 	}
-	return c.Conn.SetReadDeadline(c.headerUntil)
+	return c.Conn.SetReadDeadline(c.headerDeadline)
 }
 
-// endHeader notes that a header was read, also one that came with the request
-// before it, and lifts its bound.
+// endHeader records that a header was read, which may have been pipelined, and
+// removes its deadline.
 func (c *Conn) endHeader(now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endIdleLocked(now)
-	c.headerUntil = time.Time{}
+	c.headerDeadline = time.Time{}
 	return c.Conn.SetReadDeadline(time.Time{})
 }
 
-// endIdleLocked tells whether the connection was idle until now.
+// endIdleLocked ends the idle time, and reports whether the connection was idle.
 func (c *Conn) endIdleLocked(now time.Time) bool {
 	if c.idleSince.IsZero() {
 		return false
@@ -200,7 +204,7 @@
 	return true
 }
 
-// listener hands out callers' connections as Conn. It may be closed twice.
+// listener accepts callers' connections as Conn. It may be closed twice.
 type listener struct {
 	net.Listener
 	server *Server
@@ -227,12 +231,12 @@
 
 type contextKey struct{}
 
-// withConn keeps the connection in the contexts of its requests.
+// withConn stores the connection in the contexts of its requests.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, c)
 }
 
-// ConnOf returns the connection that a request of the context came on, or nil.
+// ConnOf returns the connection of the request with the context, or nil.
 func ConnOf(ctx context.Context) *Conn {
 	c, _ := ctx.Value(contextKey{}).(*Conn)
 	return c
--- a/internal/edge/ingress/export_test.go
+++ b/internal/edge/ingress/export_test.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// LingerAfterStop is how long callers may still send after a stop began.
+	// LingerAfterStop is how long callers may still send after a shutdown began.
 	LingerAfterStop time.Duration = lingerAfterStop
-	// UnreadBodyTimeout is how long a body may take that the handler does not read.
+	// UnreadBodyTimeout limits a body that the handler does not read.
 	UnreadBodyTimeout time.Duration = unreadBodyTimeout
-	// DrainHeaderTimeout is how long a request's header may take in a stop.
+	// DrainHeaderTimeout is how long a request's header may take in a drain.
 	DrainHeaderTimeout time.Duration = drainHeaderTimeout
 	// HeaderTimeout is how long a request's header may take.
-	HeaderTimeout time.Duration = headerTimeout
+	HeaderTimeout time.Duration = defaultHeaderTimeout
 )
--- a/internal/edge/ingress/ingress.go
+++ b/internal/edge/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package ingress owns callers' connections: it accepts them, closes those that
-// are idle for too long, and ends them in order when the process stops.
+// Package ingress accepts callers' connections, closes those that are idle for too
+// long, and drains them when the process shuts down.
 package ingress
 
 import (
@@ -18,78 +18,80 @@
 )
 
 const (
-	// headerTimeout and headerBytes apply until a configuration is known, and where
-	// it states none.
-	headerTimeout = 10 * time.Second
-	headerBytes   = 64 << 10
-	// maxHeaderBytes bounds what a header may take of the process's memory, whatever
-	// the configuration allows.
+	// defaultHeaderTimeout and defaultHeaderBytes apply until a configuration is
+	// loaded, and if it does not set them.
+	defaultHeaderTimeout = 10 * time.Second
+	defaultHeaderBytes   = 64 << 10
+	// maxHeaderBytes bounds the memory for one header, whatever the configuration
+	// allows.
 	maxHeaderBytes = 256 << 10
-	// unreadBodyTimeout bounds a body that the handler does not read: http.Server
-	// reads on before it answers.
+	// unreadBodyTimeout limits the time to receive a body that the handler does not
+	// read: http.Server reads the rest of it before it answers.
 	unreadBodyTimeout = 2 * time.Second
-	// idleTimeout applies until a configuration is known.
-	idleTimeout = 15 * time.Second
-	// lingerAfterStop is how long callers may still send on open connections
-	// after a stop began: the balancer takes two seconds to notice, and callers
-	// that were told to use another connection do so with their next request.
+	// defaultIdleTimeout applies until a configuration is loaded, and if it sets none.
+	defaultIdleTimeout = 15 * time.Second
+	// lingerAfterStop is how long open connections still accept requests after the
+	// start of a shutdown: the load balancer takes two seconds to notice it, and
+	// callers that were told to close their connection do so before their next
+	// request.
 	lingerAfterStop = 3500 * time.Millisecond
-	// drainPollInterval is how often a stopping process looks whether it is done.
+	// drainPollInterval is how often a shutdown checks whether it is complete.
 	drainPollInterval = 50 * time.Millisecond
-	// settleBeforeEnd is kept between the last request's end and the closing
-	// of its connection, so that the answer's last bytes are on their way.
-	settleBeforeEnd = 100 * time.Millisecond
+	// flushDelay is the time between the end of the last request and the closing of
+	// its connection, in which the last bytes of the answer are sent.
+	flushDelay = 100 * time.Millisecond
 )
 
-// CloseReason names why this process closed a caller's connection.
+// CloseReason is why this process closed a caller's connection.
 type CloseReason string
 
-// The reasons.
+// Reasons for closing a connection.
 const (
-	// CloseIdle: no request came within the idle limit, or before a stop ended.
+	// CloseIdle: no request arrived within the idle limit or before the end of a
+	// shutdown.
 	CloseIdle CloseReason = "idle"
-	// CloseInFlight: a request was in flight, and its caller still there.
+	// CloseInFlight: a request was in flight, and its caller still connected.
 	CloseInFlight CloseReason = "in-flight"
 )
 
-// Metrics counts what becomes of callers' connections.
+// Metrics counts closed connections of callers.
 type Metrics interface {
 	// ConnectionClosed counts a connection that this process closed.
 	ConnectionClosed(reason CloseReason)
 }
 
-// Parts are what a Server works with.
+// Parts holds the dependencies of a Server.
 type Parts struct {
 	Handler http.Handler
-	// Catalog returns the configuration in force, or nil before the first.
+	// Catalog returns the active configuration, or nil before the first is loaded.
 	Catalog func() *catalog.Catalog
 	Metrics Metrics
 	Logger  *slog.Logger
 	Now     func() time.Time
 }
 
-// Server serves callers.
+// Server is an HTTP server for callers.
 type Server struct {
 	Parts
-	http *http.Server
+	httpServer *http.Server
 
-	// draining tells that connections end as soon as they are idle.
-	draining atomic.Bool
-	active   atomic.Int64
+	// draining reports that connections are closed as soon as they are idle.
+	draining       atomic.Bool
+	activeRequests atomic.Int64
 
 	mu       sync.Mutex
 	listener *listener
-	// served is closed when no more connections are accepted.
-	served chan struct{}
-	conns  map[*Conn]struct{}
+	// acceptDone is closed when no more connections are accepted.
+	acceptDone chan struct{}
+	conns      map[*Conn]struct{}
 }
 
-// New returns a server that hands requests to the handler. Serve starts it.
+// New returns a server with the given dependencies. Serve starts it.
 func New(parts Parts) *Server {
 	s := &Server{Parts: parts, conns: make(map[*Conn]struct{})}
-	s.http = &http.Server{
-		Handler: s.count(parts.Handler), MaxHeaderBytes: maxHeaderBytes,
-		ConnState: s.state, ConnContext: withConn, DisableGeneralOptionsHandler: true,
+	s.httpServer = &http.Server{
+		Handler: s.trackRequest(parts.Handler), MaxHeaderBytes: maxHeaderBytes,
+		ConnState: s.trackState, ConnContext: withConn, DisableGeneralOptionsHandler: true,
 		ErrorLog: slog.NewLogLogger(parts.Logger.Handler(), slog.LevelWarn),
 	}
 	return s
@@ -97,28 +99,28 @@
 
 // Serve accepts connections until the server is stopped.
 func (s *Server) Serve(l net.Listener) error {
-	conns, served := newListener(l, s), make(chan struct{})
-	defer close(served)
+	conns, acceptDone := newListener(l, s), make(chan struct{})
+	defer close(acceptDone)
 	s.mu.Lock()
-	s.listener, s.served = conns, served
+	s.listener, s.acceptDone = conns, acceptDone
 	s.mu.Unlock()
-	err := s.http.Serve(conns)
+	err := s.httpServer.Serve(conns)
 	if errors.Is(err, http.ErrServerClosed) || s.draining.Load() {
 		return nil
 	}
 	return err
 }
 
-func (s *Server) count(next http.Handler) http.Handler {
+func (s *Server) trackRequest(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.active.Add(1)
-		defer s.active.Add(-1)
+		s.activeRequests.Add(1)
+		defer s.activeRequests.Add(-1)
 		conn := ConnOf(r.Context())
 		conn.setInFlight(true)
 		answered := false
 		defer func() {
-			// What is closed after a handler's panic was in flight, unless the
-			// caller left.
+			// A handler that panics leaves the request in flight, so that the
+			// closing of its connection is counted, unless the caller disconnected.
 			if answered || r.Context().Err() != nil {
 				conn.setInFlight(false)
 			}
@@ -126,11 +128,11 @@
 		if r.Body != http.NoBody {
 			deadline := s.Now().Add(unreadBodyTimeout)
 			if err := http.NewResponseController(w).SetReadDeadline(deadline); err != nil {
-				s.Logger.Debug("no read deadline", "err", err)
+				s.Logger.Debug("could not set the read deadline", "err", err)
 			}
 		}
-		if size, most := headerSize(r), s.headerMost(); size > most {
-			s.Logger.Warn("header too large", "bytes", size, "most", most)
+		if size, limit := headerSize(r), s.headerByteLimit(); size > limit {
+			s.Logger.Warn("header too large", "bytes", size, "most", limit)
 			w.Header().Set("Connection", "close")
 			w.WriteHeader(http.StatusRequestHeaderFieldsTooLarge)
 		} else {
@@ -140,13 +142,14 @@
 	})
 }
 
-// state tells a connection when a request begins and when it has ended. One that
-// came with the request before it is in http.Server's buffer and needs no read.
-func (s *Server) state(conn net.Conn, state http.ConnState) {
+// trackState updates a connection when a request begins and when it has ended. A
+// pipelined request is already in the buffer of http.Server and begins without a
+// read.
+func (s *Server) trackState(conn net.Conn, state http.ConnState) {
 	c := conn.(*Conn)
 	switch state {
 	case http.StateActive:
-		// A connection that takes no deadline is closed already.
+		// The deadline can only fail to be set on a closed connection.
 		_ = c.endHeader(s.Now())
 	case http.StateIdle:
 		c.beginIdle(s.Now())
@@ -171,8 +174,8 @@
 	return slices.Collect(maps.Keys(s.conns))
 }
 
-// idleLimit is how long a connection may be idle. It may change while the process
-// runs, which http.Server's own time-out may not.
+// idleLimit returns how long a connection may be idle. Unlike the IdleTimeout of
+// http.Server, it may change while the process runs.
 func (s *Server) idleLimit() time.Duration {
 	if s.draining.Load() {
 		return 0
@@ -180,12 +183,12 @@
 	if c := s.Catalog(); c != nil && c.Limits().IdleTimeout > 0 {
 		return c.Limits().IdleTimeout
 	}
-	return idleTimeout
+	return defaultIdleTimeout
 }
 
-// headerLimit is how long a header may take from its first byte on.
+// headerLimit returns how long a header may take from its first byte to its end.
 func (s *Server) headerLimit() time.Duration {
-	limit := headerTimeout
+	limit := defaultHeaderTimeout
 	if c := s.Catalog(); c != nil && c.Limits().HeaderTimeout > 0 {
 		limit = c.Limits().HeaderTimeout
 	}
@@ -195,16 +198,16 @@
 	return limit
 }
 
-// headerMost is how many bytes a header may have.
-func (s *Server) headerMost() int {
+// headerByteLimit returns how many bytes a header may have.
+func (s *Server) headerByteLimit() int {
 	if c := s.Catalog(); c != nil && c.Limits().HeaderBytes > 0 {
 		return c.Limits().HeaderBytes
 	}
-	return headerBytes
+	return defaultHeaderBytes
 }
 
-// headerSize returns the bytes of a request's header. A few fields that http.Server
-// takes out are not counted.
+// headerSize returns the bytes of a request's header, without the few fields that
+// http.Server removes from it.
 func headerSize(r *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(r.Proto) + separators
@@ -217,34 +220,34 @@
 	return size
 }
 
-// Stop ends the server in order: open connections are served until callers had
-// time to leave them, and what runs is finished. What still runs when the context
-// ends is cut.
+// Stop shuts the server down gracefully: open connections are served until callers
+// had time to leave them, and requests in flight complete. Those that still run
+// when the context ends are aborted.
 func (s *Server) Stop(ctx context.Context) error {
-	quietFrom := s.Now().Add(lingerAfterStop)
+	drainFrom := s.Now().Add(lingerAfterStop)
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return s.http.Close()
+			return s.httpServer.Close()
 		case now := <-ticker.C:
-			if now.After(quietFrom) && s.active.Load() == 0 {
+			if now.After(drainFrom) && s.activeRequests.Load() == 0 {
 				return s.drain(ctx)
 			}
 		}
 	}
 }
 
-// drain ends idle connections and waits for the others. http.Server's Shutdown
-// closes a connection as idle until the next request's header is parsed, and
-// drops a request that was read meanwhile.
+// drain closes idle connections and waits for the others. It replaces Shutdown of
+// http.Server, which takes a connection for idle until the header of the next
+// request is parsed, and so drops requests that have been read.
 func (s *Server) drain(ctx context.Context) error {
-	time.Sleep(settleBeforeEnd)
+	time.Sleep(flushDelay)
 	s.draining.Store(true)
 	err := s.stopAccepting(ctx)
 	for _, c := range s.openConns() {
-		// A connection that cannot be interrupted is closed already.
+		// Interrupting only fails on a closed connection.
 		_ = c.interrupt(s.Now())
 	}
 	ticker := time.NewTicker(drainPollInterval)
@@ -255,21 +258,21 @@
 		case <-ticker.C:
 		}
 	}
-	return errors.Join(err, s.http.Close())
+	return errors.Join(err, s.httpServer.Close())
 }
 
-// stopAccepting closes the listener and waits until the last connection that it
-// accepted is tracked.
+// stopAccepting closes the listener and waits until the last accepted connection is
+// tracked.
 func (s *Server) stopAccepting(ctx context.Context) error {
 	s.mu.Lock()
-	l, served := s.listener, s.served
+	l, acceptDone := s.listener, s.acceptDone
 	s.mu.Unlock()
 	if l == nil {
 		return nil
 	}
 	err := l.Close()
 	select {
-	case <-served:
+	case <-acceptDone:
 	case <-ctx.Done():
 	}
 	return err
--- a/internal/edge/ingress/ingress_test.go
+++ b/internal/edge/ingress/ingress_test.go
@@ -23,36 +23,37 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/catalog"
 )
 
-// Guards against a request that is read while the idle limit closes its
-// connection, and gets no answer.
-func TestRequestThatMeetsTheIdleLimitIsNotCut(t *testing.T) {
-	play(t, 10*time.Millisecond, func(s *site) {
+// Guards against a request that is read while its connection is closed as idle, and
+// gets no answer.
+func TestRequestAtTheIdleLimitIsNotDropped(t *testing.T) {
+	runServer(t, 10*time.Millisecond, func(f *fixture) {
 		for offset := -5 * time.Millisecond; offset <= 15*time.Millisecond; offset += time.Millisecond {
-			c := s.dial()
+			c := f.dial()
 			_, err := c.call()
 			require.NoError(t, err)
 			bubble.Pass(idleLimit + offset)
 			path, err := c.call()
-			require.False(t, c.lost(path, err), "sent %v after the limit: %v", offset, err)
+			require.False(t, c.readButUnanswered(path, err), "sent %v after the limit: %v", offset, err)
 			if offset < 0 {
 				require.NoError(t, err, "sent %v before the limit", -offset)
 			}
 		}
-		require.Zero(t, s.closed.inFlight.Load())
+		require.Zero(t, f.closedConns.inFlight.Load())
 	})
 }
 
-// Guards against a request that is dropped or cut while a stop closes its idle
-// connection.
-func TestRequestThatMeetsTheEndOfAStopIsServed(t *testing.T) {
-	for _, late := range []time.Duration{0, 10 * time.Millisecond, 400 * time.Millisecond} {
-		t.Run(late.String(), func(t *testing.T) {
-			play(t, late, func(s *site) {
-				s.limit(time.Minute)
-				// All are answered before the stop, so none is told to leave.
+// Guards against a request that is dropped because a shutdown closes its idle
+// connection at the same time.
+func TestRequestAtTheEndOfAShutdownIsServed(t *testing.T) {
+	for _, delay := range []time.Duration{0, 10 * time.Millisecond, 400 * time.Millisecond} {
+		t.Run(delay.String(), func(t *testing.T) {
+			runServer(t, delay, func(f *fixture) {
+				f.setIdleLimit(time.Minute)
+				// All requests are answered before the shutdown, so no caller is
+				// told to close its connection.
 				callers := make([]*caller, 100)
 				for i := range callers {
-					callers[i] = s.dial()
+					callers[i] = f.dial()
 					_, err := callers[i].call()
 					require.NoError(t, err)
 				}
@@ -61,23 +62,23 @@
 				for i, c := range callers {
 					wg.Go(func() {
 						bubble.Pass(ingress.LingerAfterStop - 300*time.Millisecond + time.Duration(i)*5*time.Millisecond)
-						if c.lost(c.call()) {
+						if c.readButUnanswered(c.call()) {
 							lost.Add(1)
 						}
 					})
 				}
-				s.stop()
+				f.stop()
 				wg.Wait()
-				require.Zero(t, lost.Load(), "requests that were read and got no answer")
-				require.Zero(t, s.closed.inFlight.Load())
+				require.Zero(t, lost.Load(), "requests that were read and not answered")
+				require.Zero(t, f.closedConns.inFlight.Load())
 			})
 		})
 	}
 }
 
-// Guards against a limit that is read once: idle connections kept the one of
-// before, and were closed while their callers went by the new one.
-func TestIdleLimitsThatChange(t *testing.T) {
+// Guards against an idle limit that is read only once: idle connections kept the
+// previous one, and were closed while their callers relied on the new one.
+func TestChangedIdleLimitAppliesToIdleConnections(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, scripts)
@@ -85,8 +86,8 @@
 		t.Run(strings.TrimSuffix(filepath.Base(script), ".txt"), func(t *testing.T) {
 			text, err := os.ReadFile(script)
 			require.NoError(t, err)
-			play(t, 0, func(s *site) {
-				c := s.dial()
+			runServer(t, 0, func(f *fixture) {
+				c := f.dial()
 				for line := range strings.Lines(string(text)) {
 					c.step(strings.TrimSpace(line))
 				}
@@ -95,10 +96,10 @@
 	}
 }
 
-// step takes one line of a script: limit TIME, rest TIME, call served, call
-// closed, or a comment.
+// step executes one line of a script: limit DURATION, rest DURATION, call served,
+// call closed, or a comment.
 func (c *caller) step(line string) {
-	t := c.site.t
+	t := c.fixture.t
 	verb, argument, _ := strings.Cut(line, " ")
 	switch verb {
 	case "#", "":
@@ -106,13 +107,13 @@
 		d, err := time.ParseDuration(argument)
 		require.NoError(t, err, line)
 		if verb == "limit" {
-			c.site.limit(d)
+			c.fixture.setIdleLimit(d)
 			return
 		}
 		bubble.Pass(d)
 	case "call":
 		_, err := c.call()
-		// The server is idle again before the next step.
+		// The connection must be idle again before the next step.
 		synctest.Wait()
 		require.Equal(t, argument == "served", err == nil, "%s: %v", line, err)
 	default:
@@ -120,78 +121,78 @@
 	}
 }
 
-// Guards against a connection that is closed beside a request without a sign of
-// who closed it.
-func TestRequestThatTheStopCutsIsCounted(t *testing.T) {
-	play(t, 0, func(s *site) {
-		c := s.dial()
-		ctx, cancel := context.WithCancel(s.t.Context())
+// Guards against a shutdown that closes a connection with a request in flight
+// without counting it.
+func TestRequestAbortedByAShutdownIsCounted(t *testing.T) {
+	runServer(t, 0, func(f *fixture) {
+		c := f.dial()
+		ctx, cancel := context.WithCancel(f.t.Context())
 		cancel()
-		cut := make(chan error, 1)
+		callErr := make(chan error, 1)
 		go func() {
 			_, err := c.call()
-			cut <- err
+			callErr <- err
 		}()
 		bubble.Pass(handlerTime / 2)
-		s.stopped.Do(func() { require.NoError(t, s.server.Stop(ctx)) })
-		require.Error(t, <-cut)
-		require.NoError(t, <-s.done)
-		require.Equal(t, int64(1), s.closed.inFlight.Load())
+		f.stopOnce.Do(func() { require.NoError(t, f.server.Stop(ctx)) })
+		require.Error(t, <-callErr)
+		require.NoError(t, <-f.serveDone)
+		require.Equal(t, int64(1), f.closedConns.inFlight.Load())
 	})
 }
 
-// Guards against a handler that breaks off an answer without a sign of it.
-func TestRequestThatTheHandlerBreaksOffIsCounted(t *testing.T) {
-	play(t, 0, func(s *site) {
-		c := s.dial()
-		require.NoError(t, c.write(request(broken)))
+// Guards against a handler that aborts an answer without it being counted.
+func TestRequestAbortedByTheHandlerIsCounted(t *testing.T) {
+	runServer(t, 0, func(f *fixture) {
+		c := f.dial()
+		require.NoError(t, c.write(request(abortedPath)))
 		require.Error(t, c.read())
 		synctest.Wait()
-		require.Equal(t, int64(1), s.closed.inFlight.Load())
+		require.Equal(t, int64(1), f.closedConns.inFlight.Load())
 	})
 }
 
-// Guards against the idle limit as a bound of requests that came in one write
-// with the one before them: they were cut, or answered late.
-func TestRequestsOfOneWriteAreServed(t *testing.T) {
-	for _, last := range []string{"/last", slow} {
+// Guards against an idle limit that applies to pipelined requests, which arrive in
+// one write: they were dropped or answered late.
+func TestPipelinedRequestsAreServed(t *testing.T) {
+	for _, last := range []string{"/last", slowPath} {
 		t.Run(last, func(t *testing.T) {
-			play(t, 0, func(s *site) {
-				c := s.dial()
-				begun := time.Now()
+			runServer(t, 0, func(f *fixture) {
+				c := f.dial()
+				startedAt := time.Now()
 				require.NoError(t, c.write(request("/first")+request("/second")+request(last)))
 				require.NoError(t, c.read())
 				require.NoError(t, c.read())
-				require.Equal(t, 2*handlerTime, time.Since(begun))
+				require.Equal(t, 2*handlerTime, time.Since(startedAt))
 				require.NoError(t, c.read())
-				require.Zero(t, s.closed.idle.Load())
+				require.Zero(t, f.closedConns.idle.Load())
 			})
 		})
 	}
 }
 
-// Guards against a stop that waits for the idle limit of a connection on which
-// two requests came in one write.
-func TestStopAfterRequestsOfOneWriteEnds(t *testing.T) {
-	play(t, 0, func(s *site) {
-		s.limit(time.Minute)
-		c := s.dial()
+// Guards against a shutdown that waits for the idle limit of a connection on which
+// two requests were pipelined.
+func TestShutdownAfterPipelinedRequestsEnds(t *testing.T) {
+	runServer(t, 0, func(f *fixture) {
+		f.setIdleLimit(time.Minute)
+		c := f.dial()
 		require.NoError(t, c.write(request("/first")+request("/second")))
 		require.NoError(t, c.read())
 		require.NoError(t, c.read())
-		begun := time.Now()
-		s.stop()
-		require.Less(t, time.Since(begun), ingress.LingerAfterStop+time.Second)
+		startedAt := time.Now()
+		f.stop()
+		require.Less(t, time.Since(startedAt), ingress.LingerAfterStop+time.Second)
 	})
 }
 
-// Guards against an answer to a header that is too large whose end is lost in a
-// reset of the connection.
-func TestTooLargeHeaderIsAnsweredToItsEnd(t *testing.T) {
+// Guards against a reset of the connection that loses the end of the answer to a
+// too large header.
+func TestTooLargeHeaderGetsACompleteAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := ingress.New(ingress.Parts{
-		Handler: http.NotFoundHandler(), Catalog: func() *catalog.Catalog { return nil }, Metrics: &counts{},
+		Handler: http.NotFoundHandler(), Catalog: func() *catalog.Catalog { return nil }, Metrics: &closedCounts{},
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
 	done := make(chan error, 1)
@@ -212,122 +213,122 @@
 	require.NoError(t, <-done)
 }
 
-// Guards against a connection that a piece of a request keeps open for ever.
-func TestPieceOfARequestDoesNotKeepItsConnection(t *testing.T) {
+// Guards against an incomplete request that keeps its connection open for ever.
+func TestIncompleteRequestTimesOut(t *testing.T) {
 	for _, piece := range []string{"G", "GET ", "GET / HTTP/1.1\r\nHo"} {
 		t.Run(piece, func(t *testing.T) {
-			play(t, 0, func(s *site) {
-				c := s.dial()
+			runServer(t, 0, func(f *fixture) {
+				c := f.dial()
 				_, err := c.call()
 				require.NoError(t, err)
 				bubble.Pass(time.Second)
 				require.NoError(t, c.write(piece))
-				begun := time.Now()
-				require.NoError(t, c.conn.SetReadDeadline(begun.Add(time.Hour)))
+				startedAt := time.Now()
+				require.NoError(t, c.conn.SetReadDeadline(startedAt.Add(time.Hour)))
 				_, err = io.ReadAll(c.reader)
 				require.NoError(t, err)
-				require.LessOrEqual(t, time.Since(begun), ingress.HeaderTimeout)
+				require.LessOrEqual(t, time.Since(startedAt), ingress.HeaderTimeout)
 			})
 		})
 	}
 }
 
 // Guards against a connection that is accepted as the drain begins, and whose
-// request gets no answer.
+// request is not answered.
 func TestConnectionAcceptedAsADrainBeginsIsServed(t *testing.T) {
 	for offset := 50 * time.Millisecond; offset <= 200*time.Millisecond; offset += 5 * time.Millisecond {
-		play(t, 10*time.Millisecond, func(s *site) {
-			got := make(chan error, 1)
+		runServer(t, 10*time.Millisecond, func(f *fixture) {
+			callErr := make(chan error, 1)
 			go func() {
 				bubble.Pass(ingress.LingerAfterStop + offset)
-				c := s.tryDial()
+				c := f.tryDial()
 				if c == nil {
-					got <- nil
+					callErr <- nil
 					return
 				}
 				_, err := c.call()
-				got <- err
+				callErr <- err
 			}()
-			s.stop()
-			if err := <-got; s.accepted.Load() > 0 {
-				require.NoError(t, err, "sent %v after the callers' time to leave", offset)
+			f.stop()
+			if err := <-callErr; f.accepted.Load() > 0 {
+				require.NoError(t, err, "sent %v after the linger time", offset)
 			}
 		})
 	}
 }
 
-// Guards against a stop that a piece of a request holds up.
-func TestPieceOfARequestDoesNotHoldUpAStop(t *testing.T) {
+// Guards against a shutdown that is delayed by an incomplete request.
+func TestIncompleteRequestDoesNotDelayAShutdown(t *testing.T) {
 	for _, piece := range []string{"G", "GET / HT", "\r\n"} {
 		t.Run(piece, func(t *testing.T) {
-			play(t, 0, func(s *site) {
-				s.limit(time.Minute)
-				c := s.dial()
+			runServer(t, 0, func(f *fixture) {
+				f.setIdleLimit(time.Minute)
+				c := f.dial()
 				_, err := c.call()
 				require.NoError(t, err)
-				begun := time.Now()
+				startedAt := time.Now()
 				go func() {
 					bubble.Pass(ingress.LingerAfterStop - time.Second)
 					_ = c.write(piece)
 				}()
-				s.stop()
-				require.Less(t, time.Since(begun), ingress.LingerAfterStop+ingress.DrainHeaderTimeout+time.Second)
+				f.stop()
+				require.Less(t, time.Since(startedAt), ingress.LingerAfterStop+ingress.DrainHeaderTimeout+time.Second)
 			})
 		})
 	}
 }
 
-// Guards against a caller of a refused request who sends no body and waits for
-// ever, and holds up a stop.
-func TestUnsentBodyOfARefusedRequestEnds(t *testing.T) {
+// Guards against a refused request whose body is never sent: its caller waited for
+// ever and delayed a shutdown.
+func TestRefusedRequestWithoutItsBodyTimesOut(t *testing.T) {
 	for _, header := range []string{"", "Connection: close\r\n"} {
 		t.Run(header, func(t *testing.T) {
-			play(t, 0, func(s *site) {
-				c := s.dial()
-				require.NoError(t, c.write("POST "+refused+" HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n"+header+"\r\n"))
-				begun := time.Now()
+			runServer(t, 0, func(f *fixture) {
+				c := f.dial()
+				require.NoError(t, c.write("POST "+refusedPath+" HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n"+header+"\r\n"))
+				startedAt := time.Now()
 				response, err := http.ReadResponse(c.reader, nil)
 				require.NoError(t, err)
 				require.Equal(t, http.StatusNotFound, response.StatusCode)
 				_, err = io.Copy(io.Discard, c.reader)
 				require.NoError(t, err)
-				require.LessOrEqual(t, time.Since(begun), ingress.UnreadBodyTimeout+time.Second)
+				require.LessOrEqual(t, time.Since(startedAt), ingress.UnreadBodyTimeout+time.Second)
 			})
 		})
 	}
 }
 
-// Guards against limits of a configuration that bind nobody: a header may take the
-// time that is in force when it begins, on a new connection and on an open one.
-func TestHeaderTimeoutIsThatOfTheConfiguration(t *testing.T) {
+// Guards against a configured header timeout that has no effect. The one that is
+// configured when the header begins applies, on a new connection and on an open one.
+func TestConfiguredHeaderTimeoutApplies(t *testing.T) {
 	for _, limit := range []time.Duration{time.Second, 3 * time.Second, 30 * time.Second} {
 		for _, first := range []bool{true, false} {
-			play(t, 0, func(s *site) {
-				s.limits(catalog.Limits{IdleTimeout: time.Minute, HeaderTimeout: limit})
-				c := s.dial()
+			runServer(t, 0, func(f *fixture) {
+				f.setLimits(catalog.Limits{IdleTimeout: time.Minute, HeaderTimeout: limit})
+				c := f.dial()
 				if !first {
 					_, err := c.call()
 					require.NoError(t, err)
 					bubble.Pass(time.Second)
 				}
-				begun := time.Now()
+				startedAt := time.Now()
 				for _, piece := range []string{"GET / HTTP/1.1\r\n", "Host: h\r\n", "X: a"} {
 					require.NoError(t, c.write(piece))
 					bubble.Pass(limit / 4)
 				}
-				require.NoError(t, c.conn.SetReadDeadline(begun.Add(time.Hour)))
+				require.NoError(t, c.conn.SetReadDeadline(startedAt.Add(time.Hour)))
 				_, err := io.ReadAll(c.reader)
 				require.NoError(t, err)
-				require.Equal(t, limit, time.Since(begun), "first request: %v", first)
+				require.Equal(t, limit, time.Since(startedAt), "first request: %v", first)
 			})
 		}
 	}
 }
 
-// Guards against a configured size of headers that binds nobody, and against one
-// over the usual size that proper callers may not use.
-func TestHeaderSizeIsThatOfTheConfiguration(t *testing.T) {
-	play(t, 0, func(s *site) {
+// Guards against a configured header size that has no effect, and against one above
+// the default that callers cannot use.
+func TestConfiguredHeaderSizeApplies(t *testing.T) {
+	runServer(t, 0, func(f *fixture) {
 		for _, c := range []struct{ most, size, status int }{
 			{8 << 10, 7 << 10, http.StatusOK},
 			{8 << 10, 9 << 10, http.StatusRequestHeaderFieldsTooLarge},
@@ -335,8 +336,8 @@
 			{0, 60 << 10, http.StatusOK},
 			{0, 70 << 10, http.StatusRequestHeaderFieldsTooLarge},
 		} {
-			s.limits(catalog.Limits{IdleTimeout: time.Minute, HeaderBytes: c.most})
-			caller := s.dial()
+			f.setLimits(catalog.Limits{IdleTimeout: time.Minute, HeaderBytes: c.most})
+			caller := f.dial()
 			require.NoError(t, caller.write("GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("a", c.size)+"\r\n\r\n"))
 			response, err := http.ReadResponse(caller.reader, nil)
 			require.NoError(t, err)
