--- a/internal/limit/quota/ledger.go
+++ b/internal/limit/quota/ledger.go
@@ -5,100 +5,105 @@
 	"time"
 )
 
-// Ledger sums what all gateways report. The gateway that schedules keeps one.
-// It is safe for concurrent use.
+// Ledger sums the usage that all gateways report. The gateway that runs the scheduler
+// has one. It is safe for concurrent use.
 type Ledger struct {
-	mu    sync.Mutex
-	total map[string]float64
-	nodes map[string]*account
+	mu       sync.Mutex
+	totals   map[string]float64
+	gateways map[string]*gatewayUsage
 }
 
-type account struct {
-	run   uint64
-	last  map[string]float64
-	used  map[string]float64
-	heard time.Time
-	age   time.Duration
+// gatewayUsage is the usage of one gateway.
+type gatewayUsage struct {
+	// run identifies the gateway's process, and lastReport is the usage that it last
+	// reported.
+	run        uint64
+	lastReport map[string]float64
+	// used is the part of the totals that this gateway used.
+	used       map[string]float64
+	reportedAt time.Time
+	age        time.Duration
 }
 
-// freshFor is the age up to which a process counts as just started. After a
-// restart of all the first and the last one hear each other within a second and
-// a half.
-const freshFor = 3 * time.Second
+// justStartedAge is the age up to which a process counts as just started. After a
+// restart of all gateways, the first and the last one are connected within 1.5 s.
+const justStartedAge = 3 * time.Second
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{total: make(map[string]float64), nodes: make(map[string]*account)}
+	return &Ledger{totals: make(map[string]float64), gateways: make(map[string]*gatewayUsage)}
 }
 
-// Report is what a gateway tells of itself.
+// Report is the usage at one gateway.
 type Report struct {
 	// Run identifies the process, and Age is how long it has run.
 	Run uint64
 	Age time.Duration
-	// Used is what workspaces used there since it started.
+	// Used is what each workspace has used there since the process started.
 	Used map[string]float64
 }
 
-// Totals is what a gateway is told.
+// Totals is the usage at all other gateways, as it is sent to one gateway.
 type Totals struct {
-	// Run identifies the ledger; another one counts from another moment.
+	// Run identifies the ledger. Totals of different ledgers cannot be compared, as
+	// they count from different times.
 	Run uint64
-	// Others is what workspaces used at all other gateways, and Part the part
-	// of the known gateways that it covers.
+	// Others is what each workspace used at all other gateways, and Part the
+	// fraction of the known gateways that it covers.
 	Others map[string]float64
 	Part   float64
-	// Fresh tells that all that it covers started a moment ago, and that Others
-	// holds all that they used.
+	// Fresh reports that all gateways that it covers have just started, and that
+	// Others includes all that they used.
 	Fresh bool
 }
 
-// Report takes what a gateway tells. What it had used before this ledger first
-// heard of it is left out, unless it started a moment ago: it is refilled by
-// then, or charged by the ledger before.
+// Report records a gateway's usage. Usage before the gateway's first report to this
+// ledger is ignored unless the gateway has just started: it has been refilled since,
+// or was charged by the previous ledger.
 func (l *Ledger) Report(now time.Time, node string, r Report) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := l.nodes[node]
-	first := a == nil
+	gateway := l.gateways[node]
+	first := gateway == nil
 	if first {
-		a = &account{used: make(map[string]float64)}
-		l.nodes[node] = a
+		gateway = &gatewayUsage{used: make(map[string]float64)}
+		l.gateways[node] = gateway
 	}
-	if a.run != r.Run {
-		a.run, a.last = r.Run, make(map[string]float64)
+	if gateway.run != r.Run {
+		gateway.run, gateway.lastReport = r.Run, make(map[string]float64)
 	}
-	a.heard, a.age = now, r.Age
+	gateway.reportedAt, gateway.age = now, r.Age
 	for workspace, count := range r.Used {
-		delta := count - a.last[workspace]
-		a.last[workspace] = count
-		if first && r.Age > freshFor {
+		delta := count - gateway.lastReport[workspace]
+		gateway.lastReport[workspace] = count
+		if first && r.Age > justStartedAge {
 			continue
 		}
-		a.used[workspace] += delta
-		l.total[workspace] += delta
+		gateway.used[workspace] += delta
+		l.totals[workspace] += delta
 	}
 }
 
-// Totals returns what a gateway is told. Run identifies the ledger's process.
+// Totals returns the totals for a gateway. Run identifies the ledger's process, and
+// known is the number of known gateways.
 func (l *Ledger) Totals(now time.Time, node string, run uint64, known int) Totals {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	reporting, fresh := 0, true
-	for _, a := range l.nodes {
-		if now.Sub(a.heard) <= silentAfter {
+	for _, gateway := range l.gateways {
+		if now.Sub(gateway.reportedAt) <= totalsTimeout {
 			reporting++
-			fresh = fresh && a.age <= freshFor
+			fresh = fresh && gateway.age <= justStartedAge
 		}
 	}
-	others := make(map[string]float64, len(l.total))
-	for workspace, count := range l.total {
-		own := 0.0
-		if a := l.nodes[node]; a != nil {
-			own = a.used[workspace]
+	others := make(map[string]float64, len(l.totals))
+	for workspace, count := range l.totals {
+		ownUsed := 0.0
+		if gateway := l.gateways[node]; gateway != nil {
+			ownUsed = gateway.used[workspace]
 		}
-		others[workspace] = count - own
+		others[workspace] = count - ownUsed
 	}
-	part := min(1, float64(reporting)/float64(max(1, known)))
-	return Totals{Run: run, Others: others, Part: part, Fresh: fresh && reporting > 0}
+	coverage := min(1, float64(reporting)/float64(max(1, known)))
+	return Totals{Run: run, Others: others, Part: coverage, Fresh: fresh && reporting > 0}
 }
--- a/internal/limit/quota/quota.go
+++ b/internal/limit/quota/quota.go
@@ -1,7 +1,7 @@
-// Package quota bounds what each workspace may use over all gateways. Each one
-// holds the fleet's bucket and takes from it what the others used, as the
-// gateway that schedules sums it up, so a workspace may use its whole quota at
-// any one gateway.
+// Package quota limits what each workspace may use across all gateways. Each gateway
+// has a token bucket for the whole fleet, from which it subtracts what the other
+// gateways used. The gateway that runs the scheduler sums up the usage. A workspace
+// can therefore use its whole quota at a single gateway.
 package quota
 
 import (
@@ -12,261 +12,271 @@
 )
 
 const (
-	// restartPause is the least time in which nothing is used when all processes
-	// are restarted; half a second and more was seen. startPart is the part of
-	// what may be exceeded that one restart of all may use up: two may come in
-	// one window, and the rest is for what gateways take before they hear of
-	// each other.
-	restartPause = 500 * time.Millisecond
-	startPart    = 1.0 / 3
-	// largestPart is the part of the burst that one request must find. A
-	// request over the whole burst would otherwise never be served.
-	largestPart = 0.9
-	// smallestPart is the part of the burst that must be left for any request.
-	smallestPart = 0.01
-	// silentAfter is how long sums may stay away before a gateway falls back to
-	// its even part of each quota; they come ten times a second.
-	silentAfter = 400 * time.Millisecond
-	// settleWithin is how long a new process may wait to hear what is left of the
-	// quotas before it refuses by its own part; it hears in a tenth of a second
-	// mostly. settledPart is the part of the gateways that must have been summed.
-	settleWithin = 300 * time.Millisecond
-	settledPart  = 0.9
-	// unseen is how much use of peers may not be known here yet: a report's
-	// interval and its way. While the bucket is low, an entry takes no more
-	// than its part of what is left in that time.
-	unseen = 200 * time.Millisecond
-	// retryLeast and retryMost bound what refused callers are told.
-	retryLeast = 200 * time.Millisecond
-	retryMost  = 4 * time.Second
+	// minRestartPause is the shortest time without any usage when all processes
+	// restart; pauses of half a second and more were observed.
+	minRestartPause = 500 * time.Millisecond
+	// restartExcessFraction is the fraction of the allowed excess that one restart
+	// of all gateways may use up. Two restarts may occur in one window, and the
+	// rest covers what gateways take before they know each other's usage.
+	restartExcessFraction = 1.0 / 3
+	// maxNeededFraction is the most of the burst that one request needs in the
+	// bucket. Otherwise a request that costs more than the burst would never be
+	// served.
+	maxNeededFraction = 0.9
+	// minNeededFraction is the fraction of the burst that any request needs in the
+	// bucket.
+	minNeededFraction = 0.01
+	// totalsTimeout is the time without totals after which a gateway falls back to
+	// an even part of each quota; totals arrive ten times a second.
+	totalsTimeout = 400 * time.Millisecond
+	// startupWait is how long a new process holds requests until it receives the
+	// fleet's totals, before it refuses by its own part. They mostly arrive within
+	// 100 ms.
+	startupWait = 300 * time.Millisecond
+	// startupCoverage is the fraction of the gateways that these totals must cover.
+	startupCoverage = 0.9
+	// reportDelay is the longest time in which the usage at other gateways is not
+	// known here: the interval of reports and their transmission. While the bucket
+	// is low, a gateway takes no more than its part of the rest in that time.
+	reportDelay = 200 * time.Millisecond
+	// minRetryAfter and maxRetryAfter limit the Retry-After of refused requests.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
 )
 
+// bucket is the token bucket of a workspace.
 type bucket struct {
-	workspace *catalog.Workspace
-	level     float64
-	last      time.Time
-	// used is all that was taken here, for the reports to peers.
+	workspace  *catalog.Workspace
+	level      float64
+	refilledAt time.Time
+	// used is the total that was taken here, which is reported to the ledger.
 	used float64
-	// recent is what was taken here since recentFrom, to hold back while the
-	// bucket is low.
-	recent     float64
-	recentFrom time.Time
-	// charged is what others used that the level lacks already.
+	// takenRecently is what was taken here since recentSince. It is limited
+	// while the bucket is low.
+	takenRecently float64
+	recentSince   time.Time
+	// charged is the usage of others that was already subtracted from the level.
 	charged float64
-	// began is when the bucket was made, and refilled what came back since.
-	began    time.Time
-	refilled float64
-	// alone tells that the level is this gateway's part, because it hears no sums.
-	alone bool
+	// createdAt is when the bucket was created, and refilled what was added since.
+	createdAt time.Time
+	refilled  float64
+	// isolated reports that the level is only this gateway's part, because it
+	// receives no totals.
+	isolated bool
 }
 
-// Keeper holds the buckets. It is safe for concurrent use.
+// Keeper holds the buckets of all workspaces. It is safe for concurrent use.
 type Keeper struct {
-	// known tells how many gateways there are.
-	known func() int
+	// gatewayCount returns the number of known gateways.
+	gatewayCount func() int
 
 	mu      sync.Mutex
 	buckets map[string]*bucket
-	// others is what the last sums said that others used, by the ledger of
-	// the run.
-	others map[string]float64
-	run    uint64
-	// sharedPart is the part of the gateways after a restart of all whose starting
-	// parts the buckets hold, 0 while they hold the own one alone.
-	sharedPart float64
-	// asked is when a cost was first asked for.
-	asked   time.Time
-	part    float64
-	heard   time.Time
-	options Options
+	// othersUsed is the usage of the other gateways in the last totals, and
+	// ledgerRun the run of the ledger that they came from.
+	othersUsed map[string]float64
+	ledgerRun  uint64
+	// sharedCoverage is the fraction of the gateways whose starting parts the
+	// buckets include after a restart of all, 0 while they include only their own.
+	sharedCoverage float64
+	// firstRequest is when a cost was first requested.
+	firstRequest time.Time
+	// coverage is the fraction of the gateways that the last totals cover.
+	coverage float64
+	// totalsAt is when the last totals arrived.
+	totalsAt time.Time
+	options  Options
 }
 
-// Options are what the deployment says of quotas.
+// Options holds the deployment's settings for quotas.
 type Options struct {
-	// Full tells that nothing was used before, because the whole fleet starts
-	// for the first time.
+	// Full states that nothing was used before, because the whole fleet starts for
+	// the first time.
 	Full bool
-	// Slack is by how much all gateways together may exceed a quota that
-	// counts tokens. Each may run its part of it into debt, so that a large
-	// request is not refused where a small one is served.
+	// Slack is by how much all gateways together may exceed a quota that counts
+	// tokens. Each may go into debt by its part of it, so that large requests are
+	// not refused in favor of small ones.
 	Slack float64
-	// Over is the part of what a workspace may use in a Window by which all
-	// gateways together may exceed it.
+	// Over is the fraction by which all gateways together may exceed what a
+	// workspace may use in a Window.
 	Over   float64
 	Window time.Duration
 }
 
-// start is the part of a workspace's burst that new processes together believe
-// to be left. They do not know what was used before they started. What passes is
-// never more than what was refilled while nothing ran and what may be exceeded;
-// with less, callers below their quotas are refused in the second after a restart
-// of all.
-func (o Options) start(w *catalog.Workspace) float64 {
-	refilled := w.PerSecond * restartPause.Seconds()
-	exceeded := o.Over * (w.PerSecond*o.Window.Seconds() + w.Burst)
-	return min(w.Burst, refilled+startPart*exceeded)
+// restartLevel returns the level of a workspace's bucket that all newly started
+// processes together assume, as they do not know what was used before. It is at most
+// what was refilled while nothing ran, plus a part of the allowed excess. With less,
+// callers below their quotas are refused in the second after a restart of all
+// gateways.
+func (o Options) restartLevel(w *catalog.Workspace) float64 {
+	refilled := w.PerSecond * minRestartPause.Seconds()
+	allowedExcess := o.Over * (w.PerSecond*o.Window.Seconds() + w.Burst)
+	return min(w.Burst, refilled+restartExcessFraction*allowedExcess)
 }
 
-// New returns a keeper that knows no workspace. Known tells how many gateways
-// there are.
+// New returns a keeper without workspaces. Known returns the number of known
+// gateways.
 func New(options Options, known func() int) *Keeper {
-	return &Keeper{known: known, options: options, buckets: make(map[string]*bucket), others: make(map[string]float64)}
+	return &Keeper{gatewayCount: known, options: options, buckets: make(map[string]*bucket), othersUsed: make(map[string]float64)}
 }
 
-// SetOptions changes what the deployment says of quotas.
+// SetOptions changes the deployment's settings for quotas.
 func (k *Keeper) SetOptions(options Options) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.options = options
 }
 
-// Know makes buckets for the workspaces that have a quota. One that is made when a
-// workspace is first met here lacks what the others refilled and used before.
+// Know creates buckets for the workspaces that have a quota. If a bucket
+// is created only at the first request of a workspace, it lacks what the other gateways
+// refilled and used before.
 func (k *Keeper) Know(now time.Time, workspaces []catalog.Workspace) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range workspaces {
 		if w := &workspaces[i]; w.PerSecond > 0 {
-			k.at(now, w)
+			k.bucketAt(now, w)
 		}
 	}
 }
 
-func (k *Keeper) at(now time.Time, w *catalog.Workspace) *bucket {
+func (k *Keeper) bucketAt(now time.Time, w *catalog.Workspace) *bucket {
 	b := k.buckets[w.Name]
 	if b == nil {
-		b = &bucket{level: k.firstLevel(w), last: now, began: now, recentFrom: now, charged: k.others[w.Name]}
+		b = &bucket{level: k.initialLevel(w), refilledAt: now, createdAt: now, recentSince: now, charged: k.othersUsed[w.Name]}
 		k.buckets[w.Name] = b
 	}
 	b.workspace = w
-	if elapsed := now.Sub(b.last); elapsed > 0 {
-		refilled := w.PerSecond * elapsed.Seconds() * k.heardPart(now)
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		refilled := w.PerSecond * elapsed.Seconds() * k.rateFraction(now)
 		b.level += refilled
 		b.refilled += refilled
-		b.last = now
+		b.refilledAt = now
 	}
 	b.level = min(b.level, w.Burst)
-	k.leaveOthersTheirPart(now, b)
+	k.limitIsolated(now, b)
 	return b
 }
 
-// leaveOthersTheirPart keeps a gateway that hears no sums to its part of what was
-// left when it heard the last. Those that are cut off from each other would each
-// use up all of it, and the workspace get it as often as there are such gateways.
-func (k *Keeper) leaveOthersTheirPart(now time.Time, b *bucket) {
-	silent := k.missed(now, silentAfter)
-	if silent && !b.alone {
-		b.level = min(b.level, b.level/float64(max(1, k.known())))
+// limitIsolated restricts a gateway that receives no totals to its part of what was
+// left at the last ones. Otherwise gateways that cannot reach each other would each
+// use up all of it, and a workspace would get it once for each of them.
+func (k *Keeper) limitIsolated(now time.Time, b *bucket) {
+	overdue := k.totalsOverdue(now, totalsTimeout)
+	if overdue && !b.isolated {
+		b.level = min(b.level, b.level/float64(max(1, k.gatewayCount())))
 	}
-	b.alone = silent
+	b.isolated = overdue
 }
 
-// missed tells whether the last sums are longer ago, if there ever were any.
-func (k *Keeper) missed(now time.Time, after time.Duration) bool {
-	return !k.heard.IsZero() && now.Sub(k.heard) > after
+// totalsOverdue reports whether the last totals, if there were any, are older than the
+// duration.
+func (k *Keeper) totalsOverdue(now time.Time, after time.Duration) bool {
+	return !k.totalsAt.IsZero() && now.Sub(k.totalsAt) > after
 }
 
-// firstLevel is the level of a bucket that was not used here before: an even part
-// or, shortly after a restart of all that share it, what the others left. Later on
-// the others' use is long since refilled, and says nothing of what is left.
-func (k *Keeper) firstLevel(w *catalog.Workspace) float64 {
+// initialLevel returns the level of a new bucket: an even part or, shortly after a
+// restart of all gateways, what the others left of the shared level. Later, their
+// usage has long been refilled, and does not tell what is left.
+func (k *Keeper) initialLevel(w *catalog.Workspace) float64 {
 	if k.options.Full {
 		return w.Burst
 	}
-	start := k.options.start(w)
-	part := start / float64(max(1, k.known()))
-	return max(part, start*k.sharedPart-k.others[w.Name])
+	start := k.options.restartLevel(w)
+	part := start / float64(max(1, k.gatewayCount()))
+	return max(part, start*k.sharedCoverage-k.othersUsed[w.Name])
 }
 
-// share makes the bucket of each workspace that of all gateways which the totals
-// cover. After a restart of all, each began with its even part and was refilled by
-// as much; what the others did not use of theirs may be used here.
-func (k *Keeper) share(now time.Time, t Totals) {
+// mergeStartingParts extends the bucket of each workspace to all gateways that the
+// totals cover. After a restart of all, each gateway began with an even part and an
+// even part of the refill; what the others did not use of theirs may be used here.
+func (k *Keeper) mergeStartingParts(now time.Time, t Totals) {
 	for name, b := range k.buckets {
 		used := max(0, t.Others[name]-b.charged)
 		b.level -= used
 		b.charged += used
-		own := k.sharedPart
-		if own == 0 {
-			own = 1 / float64(max(1, k.known()))
+		ownPart := k.sharedCoverage
+		if ownPart == 0 {
+			ownPart = 1 / float64(max(1, k.gatewayCount()))
 		}
-		b.level += k.options.start(b.workspace) * max(0, t.Part-own)
-		refilled := max(0, b.workspace.PerSecond*now.Sub(b.began).Seconds()*t.Part-b.refilled)
+		b.level += k.options.restartLevel(b.workspace) * max(0, t.Part-ownPart)
+		refilled := max(0, b.workspace.PerSecond*now.Sub(b.createdAt).Seconds()*t.Part-b.refilled)
 		b.level += refilled
 		b.refilled += refilled
 	}
-	k.sharedPart = max(k.sharedPart, t.Part)
+	k.sharedCoverage = max(k.sharedCoverage, t.Part)
 }
 
-// Settles tells whether the process is new and has not heard yet what is left of
-// the quotas. A request that is over its part is better held for that moment than
+// Settles reports whether the process is new and still waits for the fleet's totals.
+// A request that exceeds this gateway's part should be held for that time instead of
 // refused.
 func (k *Keeper) Settles(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	heard := !k.heard.IsZero() && k.part >= settledPart
-	return !k.options.Full && !heard && now.Sub(k.asked) < settleWithin
+	complete := !k.totalsAt.IsZero() && k.coverage >= startupCoverage
+	return !k.options.Full && !complete && now.Sub(k.firstRequest) < startupWait
 }
 
-// heardPart is the part of the fleet's rate that this gateway may reckon with:
-// those that are not heard may be using their even part.
-func (k *Keeper) heardPart(now time.Time) float64 {
-	if now.Sub(k.heard) > silentAfter {
-		return 1 / float64(max(1, k.known()))
+// rateFraction returns the fraction of the fleet's rate by which the buckets are
+// refilled: gateways that the totals do not cover may be using their even part.
+func (k *Keeper) rateFraction(now time.Time) float64 {
+	if now.Sub(k.totalsAt) > totalsTimeout {
+		return 1 / float64(max(1, k.gatewayCount()))
 	}
-	return k.part
+	return k.coverage
 }
 
-// Take takes the cost from the workspace's bucket, or tells when to come back.
+// Take takes the cost from the workspace's bucket, or returns when to retry.
 func (k *Keeper) Take(now time.Time, w *catalog.Workspace, cost float64) (bool, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.asked.IsZero() {
-		k.asked = now
+	if k.firstRequest.IsZero() {
+		k.firstRequest = now
 	}
-	b := k.at(now, w)
-	// All sizes need the same level, so that small requests do not take each
-	// token before a large one finds its number.
-	need := max(smallestPart*w.Burst, min(cost-k.debt(w), largestPart*w.Burst))
-	if now.Sub(b.recentFrom) > unseen {
-		b.recent, b.recentFrom = 0, now
+	b := k.bucketAt(now, w)
+	// Small and large requests needed the same level, so that small ones do not
+	// starve large ones by taking each token as it is refilled.
+	needed := max(minNeededFraction*w.Burst, min(cost-k.maxDebt(w), maxNeededFraction*w.Burst))
+	if now.Sub(b.recentSince) > reportDelay {
+		b.takenRecently, b.recentSince = 0, now
 	}
-	if b.level < need || !k.withinPart(now, b, w) {
-		wait := time.Duration((need - b.level) / w.PerSecond * float64(time.Second))
-		return false, min(max(wait, retryLeast), retryMost)
+	if b.level < needed || !k.withinInterval(now, b, w) {
+		wait := time.Duration((needed - b.level) / w.PerSecond * float64(time.Second))
+		return false, min(max(wait, minRetryAfter), maxRetryAfter)
 	}
 	b.level -= cost
 	b.used += cost
-	b.recent += cost
+	b.takenRecently += cost
 	return true, 0
 }
 
-// debt is how far below zero one request may take the bucket here.
-func (k *Keeper) debt(w *catalog.Workspace) float64 {
+// maxDebt returns how far below zero a request may take the bucket at this gateway.
+func (k *Keeper) maxDebt(w *catalog.Workspace) float64 {
 	if !w.ByTokens {
 		return 0
 	}
-	return k.options.Slack / float64(max(1, k.known()))
+	return k.options.Slack / float64(max(1, k.gatewayCount()))
 }
 
-// withinPart bounds what one gateway takes between two reports: all together
-// must not take more than the bucket holds before they hear of each other. A
-// single request always fits.
-func (k *Keeper) withinPart(now time.Time, b *bucket, w *catalog.Workspace) bool {
-	overdue := k.missed(now, unseen)
+// withinInterval limits what one gateway takes between two reports: all gateways
+// together must not take more than the bucket holds before they know each other's
+// usage. A single request is always allowed.
+func (k *Keeper) withinInterval(now time.Time, b *bucket, w *catalog.Workspace) bool {
+	overdue := k.totalsOverdue(now, reportDelay)
 	if b.level > w.Burst/2 && !overdue {
 		return true
 	}
-	known := float64(max(1, k.known()))
-	// The level already lacks what was taken here since the last reports.
-	part := (b.level + b.recent) / known
+	gateways := float64(max(1, k.gatewayCount()))
+	// What was taken here since the last reports is already subtracted from the
+	// level.
+	part := (b.level + b.takenRecently) / gateways
 	if !overdue {
 		part *= 2
 	}
-	return b.recent <= part+w.PerSecond*unseen.Seconds()/known
+	return b.takenRecently <= part+w.PerSecond*reportDelay.Seconds()/gateways
 }
 
-// Return gives back what a request that has not run took.
+// Return refunds the cost of a request that was not executed.
 func (k *Keeper) Return(w *catalog.Workspace, cost float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -278,7 +288,7 @@
 	b.used -= cost
 }
 
-// Used returns what was taken here by each workspace since the process started.
+// Used returns what each workspace has used here since the process started.
 func (k *Keeper) Used() map[string]float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -289,20 +299,20 @@
 	return used
 }
 
-// Hear takes what a ledger tells.
+// Hear applies the totals of a ledger.
 func (k *Keeper) Hear(now time.Time, t Totals) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
 	case t.Fresh && !k.options.Full:
-		k.share(now, t)
-	case t.Run == k.run:
+		k.mergeStartingParts(now, t)
+	case t.Run == k.ledgerRun:
 		for workspace, count := range t.Others {
 			if b := k.buckets[workspace]; b != nil {
-				b.level -= count - k.others[workspace]
-				b.charged += count - k.others[workspace]
+				b.level -= count - k.othersUsed[workspace]
+				b.charged += count - k.othersUsed[workspace]
 			}
 		}
 	}
-	k.run, k.others, k.part, k.heard = t.Run, t.Others, t.Part, now
+	k.ledgerRun, k.othersUsed, k.coverage, k.totalsAt = t.Run, t.Others, t.Part, now
 }
