--- a/internal/limit/retry/retry.go
+++ b/internal/limit/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry bounds how often requests are sent again, so that repeats never
-// feed an overload.
+// Package retry limits how often requests are retried, so that retries do not
+// amplify an overload.
 package retry
 
 import (
@@ -8,125 +8,129 @@
 )
 
 const (
-	// safety is the part of the fleet's slack that is used. The rest covers sends
-	// that an upstream counts and this process does not, and uneven windows.
-	safety = 0.7
-	// earnPart is the part of the share that requests earn as they are sent, and
-	// savePart the part that may be saved up for a moment at which many repeats
-	// are due at once. In any window a process spends at most what it had saved
-	// and what it earned, so the two together stay below the whole share.
+	// usedSlackFraction is the fraction of the fleet's slack that is used. The rest
+	// covers attempts that an upstream counts and this process does not, and
+	// differences between windows.
+	usedSlackFraction = 0.7
+	// earnedFraction is the fraction of the share that requests earn as they are
+	// sent, and savedFraction the fraction that may be saved for many simultaneous
+	// retries. In any window a process spends at most what it had saved and what it
+	// earned, so the sum of the two is less than 1.
 	//
-	// Engines that crash break all their streams in one moment: with a part of
-	// the slack alone, three of some seven that a gateway of 25 lost could go on
-	// elsewhere, though the fleet had used a fiftieth of its bound.
-	earnPart = 0.5
-	savePart = 0.4
+	// Saving is needed because engines that crash break all their streams at once:
+	// with a part of the slack alone, each of 25 gateways could resume only three of
+	// about seven broken streams, while the fleet had used 1/50 of its limit.
+	earnedFraction = 0.5
+	savedFraction  = 0.4
 )
 
-// Settings are the fleet's bound: in any Window a service may get at most Share
-// of its requests and Slack more as repeats.
+// Settings is the limit for the whole fleet: in any Window, the retries to a service
+// must not exceed Share times its requests plus Slack.
 type Settings struct {
 	Share  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// Budget is one process's part of the bound. Its own requests earn their share,
-// and the slack is split among the processes that are known.
+// Budget is one process's part of the limit. Its own requests earn their share, and
+// the slack is divided evenly among the known processes. It is safe for concurrent
+// use.
 type Budget struct {
 	settings  Settings
 	processes func() int
 
 	mu       sync.Mutex
-	services map[string]*account
+	services map[string]*serviceBudget
 }
 
-type account struct {
-	tokens float64
-	last   time.Time
-	sends  recent
+// serviceBudget holds the retries that may be spent on a service.
+type serviceBudget struct {
+	tokens     float64
+	refilledAt time.Time
+	requests   requestWindow
 }
 
-// recent counts sends in halves of a window. The two last halves hold what was
-// sent in between a half and a whole window, never more than that.
-type recent struct {
-	// from is when the present half began.
-	from          time.Time
-	before, since float64
+// requestWindow counts requests in halves of a window. The two latest halves cover at
+// least half a window and never more than a whole one.
+type requestWindow struct {
+	// halfStart is when the current half began.
+	halfStart         time.Time
+	previous, current float64
 }
 
-// advance moves to the half in which the time lies.
-func (r *recent) advance(now time.Time, window time.Duration) {
+// advance moves to the half that contains the time.
+func (r *requestWindow) advance(now time.Time, window time.Duration) {
 	half := window / 2
-	switch elapsed := now.Sub(r.from); {
+	switch elapsed := now.Sub(r.halfStart); {
 	case elapsed < half:
 	case elapsed < 2*half:
-		r.before, r.since = r.since, 0
-		r.from = r.from.Add(half)
+		r.previous, r.current = r.current, 0
+		r.halfStart = r.halfStart.Add(half)
 	default:
-		r.before, r.since = 0, 0
-		r.from = now
+		r.previous, r.current = 0, 0
+		r.halfStart = now
 	}
 }
 
-func (r *recent) count() float64 { return r.before + r.since }
+func (r *requestWindow) count() float64 { return r.previous + r.current }
 
-// New returns a budget. Processes tells how many processes share the slack.
+// New returns a budget. Processes returns how many processes share the slack.
 func New(s Settings, processes func() int) *Budget {
-	return &Budget{settings: s, processes: processes, services: make(map[string]*account)}
+	return &Budget{settings: s, processes: processes, services: make(map[string]*serviceBudget)}
 }
 
-// SetSettings changes the bound.
+// SetSettings changes the limit.
 func (b *Budget) SetSettings(s Settings) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.settings = s
 }
 
-// slackPart is what an idle process may save: its part of the slack.
-func (b *Budget) slackPart() float64 {
-	return safety * b.settings.Slack / float64(max(1, b.processes()))
+// slackShare returns this process's part of the slack, which is what an idle process
+// may save.
+func (b *Budget) slackShare() float64 {
+	return usedSlackFraction * b.settings.Slack / float64(max(1, b.processes()))
 }
 
-// most is what a process may have saved.
-func (b *Budget) most(a *account) float64 {
-	return b.slackPart() + savePart*b.settings.Share*a.sends.count()
+// maxSaved returns the retries that a process may have saved.
+func (b *Budget) maxSaved(s *serviceBudget) float64 {
+	return b.slackShare() + savedFraction*b.settings.Share*s.requests.count()
 }
 
-// at returns the service's account with what the slack has refilled. The slack
-// is refilled over two windows, so that no single window gets it twice.
-func (b *Budget) at(now time.Time, service string) *account {
-	a := b.services[service]
-	if a == nil {
-		a = &account{tokens: b.slackPart(), last: now}
-		b.services[service] = a
+// refilledBudget returns the service's budget, refilled from the slack. The refill of
+// the slack takes two windows, so that no single window gets it twice.
+func (b *Budget) refilledBudget(now time.Time, service string) *serviceBudget {
+	s := b.services[service]
+	if s == nil {
+		s = &serviceBudget{tokens: b.slackShare(), refilledAt: now}
+		b.services[service] = s
 	}
-	a.sends.advance(now, b.settings.Window)
-	if elapsed := now.Sub(a.last); elapsed > 0 {
-		a.tokens += b.slackPart() * elapsed.Seconds() / (2 * b.settings.Window.Seconds())
-		a.last = now
+	s.requests.advance(now, b.settings.Window)
+	if elapsed := now.Sub(s.refilledAt); elapsed > 0 {
+		s.tokens += b.slackShare() * elapsed.Seconds() / (2 * b.settings.Window.Seconds())
+		s.refilledAt = now
 	}
-	a.tokens = min(a.tokens, b.most(a))
-	return a
+	s.tokens = min(s.tokens, b.maxSaved(s))
+	return s
 }
 
-// Sent notes a first send to the service.
+// Sent records the first attempt of a request to the service.
 func (b *Budget) Sent(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.at(now, service)
-	a.sends.since++
-	a.tokens = min(a.tokens+earnPart*b.settings.Share, b.most(a))
+	s := b.refilledBudget(now, service)
+	s.requests.current++
+	s.tokens = min(s.tokens+earnedFraction*b.settings.Share, b.maxSaved(s))
 }
 
-// Take tells whether one more send is allowed, and counts it.
+// Take reports whether a retry is allowed, and charges it.
 func (b *Budget) Take(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	a := b.at(now, service)
-	if a.tokens < 1 {
+	s := b.refilledBudget(now, service)
+	if s.tokens < 1 {
 		return false
 	}
-	a.tokens--
+	s.tokens--
 	return true
 }
--- a/internal/limit/retry/retry_test.go
+++ b/internal/limit/retry/retry_test.go
@@ -9,10 +9,10 @@
 	"github.com/persimmonridge/persimmonridge/internal/limit/retry"
 )
 
-// Half of what a service does fails for thirty seconds, and every failure would
-// be sent again. Over five gateways, in any ten seconds, repeats must stay
-// under a fifth of the requests and the slack.
-func TestFleetStaysWithinTheBoundInEveryWindow(t *testing.T) {
+// Every request to a service fails for thirty seconds and asks for a retry. Over five
+// gateways, the retries in any ten seconds must not exceed a fifth of the requests
+// plus the slack.
+func TestFleetStaysWithinTheLimitInEveryWindow(t *testing.T) {
 	settings := retry.Settings{Share: 0.2, Slack: 56, Window: 10 * time.Second}
 	var gateways []*retry.Budget
 	for range 5 {
@@ -38,14 +38,13 @@
 		}
 		require.LessOrEqual(t, float64(count), settings.Share*perSecond*10+settings.Slack)
 	}
-	require.Greater(t, len(repeats), 30*perSecond/10, "what is allowed is used")
+	require.Greater(t, len(repeats), 30*perSecond/10, "the fleet must use what it is allowed")
 }
 
-// Callers of streams that could have gone on elsewhere saw them broken off.
-// Sixteen of 46 engines crashed in one moment, and each of 25 gateways lost some
-// seven streams; three of them used up what it could save, while the fleet had
-// spent a fiftieth of what its bound allows.
-func TestEnginesThatCrashTogetherMayBeRepeated(t *testing.T) {
+// Guards against resumable streams that are aborted when many engines crash at once.
+// Sixteen of 46 engines crashed, and each of 25 gateways lost about seven streams.
+// Three retries used up its savings, while the fleet had spent 1/50 of its limit.
+func TestStreamsOfEnginesThatCrashTogetherMayBeRetried(t *testing.T) {
 	settings := retry.Settings{Share: 0.2, Slack: 90, Window: 10 * time.Second}
 	b := retry.New(settings, func() int { return 25 })
 	start := time.Unix(1_000_000, 0)
@@ -59,10 +58,10 @@
 	}
 }
 
-// A service fails whatever it is sent from one moment on, after gateways have
-// saved up all they may. In no window of ten seconds may the fleet's bound be
-// passed, by the requests of that window, the one before or the one between.
-func TestSavedRepeatsStayWithinTheBound(t *testing.T) {
+// A service begins to fail every request after the gateways have saved as many
+// retries as they may. The fleet's limit must hold in every window of ten seconds,
+// wherever it begins.
+func TestSavedRetriesStayWithinTheLimit(t *testing.T) {
 	settings := retry.Settings{Share: 0.2, Slack: 90, Window: 10 * time.Second}
 	var gateways []*retry.Budget
 	for range 25 {
@@ -88,8 +87,8 @@
 	}
 }
 
-// Traffic ends, and what was earned by it must not be spent long after.
-func TestWhatWasSavedEndsWithItsTraffic(t *testing.T) {
+// Retries that were earned by traffic must expire after it has ended.
+func TestSavedRetriesExpire(t *testing.T) {
 	b := retry.New(retry.Settings{Share: 0.2, Slack: 0, Window: 10 * time.Second}, func() int { return 1 })
 	start := time.Unix(1_000_000, 0)
 	for i := range 100 {
