--- a/internal/limit/crash/crash.go
+++ b/internal/limit/crash/crash.go
@@ -1,5 +1,5 @@
-// Package crash recognizes requests that crash what runs them: the same
-// fingerprint was being run each time an upstream died.
+// Package crash detects requests that crash upstreams: those whose fingerprint was
+// being executed each time that an upstream crashed.
 package crash
 
 import (
@@ -8,118 +8,123 @@
 )
 
 const (
-	// blockAt is the number of upstreams after which a fingerprint is refused.
-	// One crash has many requests in common with an innocent one, and two may
-	// be bad luck of one caller; three are what callers' retries allow for.
-	blockAt = 3
-	// confirmWithin is how soon after an answer broke off its upstream must be
-	// found dead for the two to be one event: a connection is refused within a
-	// round trip of the crash, as soon as any request is sent there.
-	confirmWithin = 1500 * time.Millisecond
-	// keep is how long crashes are remembered.
-	keep = 2 * time.Minute
-	// mostSuspects bounds what is remembered of one moment.
-	mostSuspects = 4096
+	// blockAfterCrashes is the number of crashed upstreams at which a fingerprint is
+	// refused. Many unrelated requests run on an upstream when it crashes, and a
+	// caller may be affected twice by chance; callers' retries allow for three
+	// crashes.
+	blockAfterCrashes = 3
+	// confirmationWindow is the longest time between an interrupted answer and a
+	// refused connection to its upstream for both to be one crash: the refusal is
+	// noticed within a round trip of the crash, as soon as any request is sent there.
+	confirmationWindow = 1500 * time.Millisecond
+	// retention is how long crashes are remembered.
+	retention = 2 * time.Minute
+	// maxSuspicions limits the interrupted requests that are remembered at a time.
+	maxSuspicions = 4096
 )
 
-type suspicion struct {
+// suspectedRequest is a request whose answer an upstream interrupted.
+type suspectedRequest struct {
 	fingerprint uint64
 	at          time.Time
 }
 
-// Register remembers crashes. It is safe for concurrent use.
+// Register records crashes of upstreams. It is safe for concurrent use.
 type Register struct {
-	mu       sync.Mutex
-	broke    map[string][]suspicion
-	count    int
-	crashes  map[uint64]map[string]time.Time
-	onCrash  func(fingerprint uint64, crash string)
-	lastTidy time.Time
+	mu sync.Mutex
+	// interrupted holds the interrupted requests by upstream, and interruptedCount is
+	// their number.
+	interrupted      map[string][]suspectedRequest
+	interruptedCount int
+	// crashes holds the time of each crash by fingerprint and upstream.
+	crashes    map[uint64]map[string]time.Time
+	onCrash    func(fingerprint uint64, crash string)
+	lastExpiry time.Time
 }
 
-// New returns an empty register. OnCrash is told of each crash that is held
-// against a fingerprint, so that other processes can be told; it may be nil.
+// New returns an empty register. OnCrash is called for each crash that is recorded
+// for a fingerprint, so that other processes can be notified; it may be nil.
 func New(onCrash func(fingerprint uint64, crash string)) *Register {
-	return &Register{broke: make(map[string][]suspicion), crashes: make(map[uint64]map[string]time.Time), onCrash: onCrash}
+	return &Register{interrupted: make(map[string][]suspectedRequest), crashes: make(map[uint64]map[string]time.Time), onCrash: onCrash}
 }
 
-// Broke notes that an upstream broke off while it had the request.
+// Broke records that an upstream interrupted the answer to a request.
 func (r *Register) Broke(now time.Time, upstream string, fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tidy(now)
-	if r.count >= mostSuspects {
+	r.expire(now)
+	if r.interruptedCount >= maxSuspicions {
 		return
 	}
-	r.broke[upstream] = append(r.broke[upstream], suspicion{fingerprint: fingerprint, at: now})
-	r.count++
+	r.interrupted[upstream] = append(r.interrupted[upstream], suspectedRequest{fingerprint: fingerprint, at: now})
+	r.interruptedCount++
 }
 
-// Down notes that nothing listens at the upstream: what it broke off shortly
-// before was running when it crashed.
+// Down records that the upstream refuses connections: the requests that it
+// interrupted shortly before were being executed when it crashed.
 func (r *Register) Down(now time.Time, upstream string) {
 	r.mu.Lock()
-	suspicions := r.broke[upstream]
-	delete(r.broke, upstream)
-	r.count -= len(suspicions)
-	var held []suspicion
+	suspicions := r.interrupted[upstream]
+	delete(r.interrupted, upstream)
+	r.interruptedCount -= len(suspicions)
+	var recorded []suspectedRequest
 	for _, s := range suspicions {
-		if now.Sub(s.at) > confirmWithin {
+		if now.Sub(s.at) > confirmationWindow {
 			continue
 		}
-		r.hold(now, s.fingerprint, upstream)
-		held = append(held, s)
+		r.record(now, s.fingerprint, upstream)
+		recorded = append(recorded, s)
 	}
 	r.mu.Unlock()
 	if r.onCrash == nil {
 		return
 	}
-	for _, s := range held {
+	for _, s := range recorded {
 		r.onCrash(s.fingerprint, upstream)
 	}
 }
 
-// Learn takes a crash that another process saw, and tells whether it is new.
+// Learn records a crash that another process detected, and reports whether it is new.
 func (r *Register) Learn(now time.Time, fingerprint uint64, crash string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.crashes[fingerprint][crash]; known {
 		return false
 	}
-	r.hold(now, fingerprint, crash)
+	r.record(now, fingerprint, crash)
 	return true
 }
 
-func (r *Register) hold(now time.Time, fingerprint uint64, crash string) {
+func (r *Register) record(now time.Time, fingerprint uint64, crash string) {
 	if r.crashes[fingerprint] == nil {
 		r.crashes[fingerprint] = make(map[string]time.Time)
 	}
 	r.crashes[fingerprint][crash] = now
 }
 
-// Blocked tells whether requests of the fingerprint are refused.
+// Blocked reports whether requests with the fingerprint are refused.
 func (r *Register) Blocked(now time.Time, fingerprint uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tidy(now)
-	return len(r.crashes[fingerprint]) >= blockAt
+	r.expire(now)
+	return len(r.crashes[fingerprint]) >= blockAfterCrashes
 }
 
-// tidy forgets what is old, once a second at most.
-func (r *Register) tidy(now time.Time) {
-	if now.Sub(r.lastTidy) < time.Second {
+// expire removes expired entries, at most once a second.
+func (r *Register) expire(now time.Time) {
+	if now.Sub(r.lastExpiry) < time.Second {
 		return
 	}
-	r.lastTidy = now
-	for upstream, suspicions := range r.broke {
-		if last := suspicions[len(suspicions)-1]; now.Sub(last.at) > confirmWithin {
-			r.count -= len(suspicions)
-			delete(r.broke, upstream)
+	r.lastExpiry = now
+	for upstream, suspicions := range r.interrupted {
+		if last := suspicions[len(suspicions)-1]; now.Sub(last.at) > confirmationWindow {
+			r.interruptedCount -= len(suspicions)
+			delete(r.interrupted, upstream)
 		}
 	}
 	for fingerprint, crashes := range r.crashes {
 		for upstream, at := range crashes {
-			if now.Sub(at) > keep {
+			if now.Sub(at) > retention {
 				delete(crashes, upstream)
 			}
 		}
--- a/internal/limit/crash/crash_test.go
+++ b/internal/limit/crash/crash_test.go
@@ -11,10 +11,9 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// One request crashes each upstream that begins to run it, and its caller sends
-// it again and again. After the third crash no gateway sends it any more, also
-// one that saw only some of the crashes itself. Requests that ran beside it
-// once are not held for it.
+// A request crashes each upstream that executes it, and its caller keeps retrying.
+// After the third crash no gateway sends it any more, not even one that was only told
+// of the crashes. Requests that were executed alongside it once are not refused.
 func TestRequestIsRefusedAfterItsThirdCrash(t *testing.T) {
 	const guilty, innocent = 1, 2
 	other := crash.New(nil)
@@ -33,9 +32,9 @@
 	require.False(t, r.Blocked(now.Add(time.Hour), guilty))
 }
 
-// Answers get lost while their upstreams live: that is no crash, or a read that
-// many callers make would be refused.
-func TestLostAnswersAreNoCrashes(t *testing.T) {
+// Guards against refusing a read that many callers make: a lost answer of an upstream
+// that is still running is not a crash.
+func TestLostAnswersAreNotCrashes(t *testing.T) {
 	r := crash.New(nil)
 	for i := range 10 {
 		now := start.Add(time.Duration(i) * 3 * time.Second)
