--- a/internal/observe/explain/explain.go
+++ b/internal/observe/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds in the logs of any number of processes what became of
-// one request, and what the processes that had it believed at the time.
+// Package explain reconstructs from the logs of any number of processes what happened
+// to one request, and the state of the processes that handled it at that time.
 package explain
 
 import (
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// maxLine bounds one line of a log.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
 // line is one line of a log.
 type line struct {
 	source string
-	at     time.Time
+	time   time.Time
 	fields map[string]string
 	text   string
 }
 
-// beliefs are messages that change what a process believes, and the field that
-// tells of what. The last one before a request was in force during it.
-var beliefs = map[string]string{
+// stateMessages maps the messages that log a change of a process's state to the field
+// that names the subject of the state, if there is one. The last such line before a
+// request shows the state during it.
+var stateMessages = map[string]string{
 	"configuration in force": "",
 	"scheduler":              "",
 	"store lost":             "",
@@ -37,17 +37,17 @@
 	"peer silent":            "peer",
 }
 
-// Log is the lines of one process.
+// Log holds the log lines of one process.
 type Log struct {
 	source string
 	lines  []line
 }
 
-// Read reads the log of one process. Lines that are none of ours are skipped.
+// Read reads the log of one process. It skips lines of other formats.
 func Read(source string, reader io.Reader) (*Log, error) {
 	log := &Log{source: source}
 	scanner := bufio.NewScanner(reader)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
 		if l, ok := parse(source, scanner.Text()); ok {
 			log.lines = append(log.lines, l)
@@ -56,14 +56,14 @@
 	return log, scanner.Err()
 }
 
-// parse reads key=value pairs; values with spaces are quoted. What stands
-// before the first pair, as a collector may add, is skipped.
+// parse reads key=value pairs; values with spaces are quoted. It skips text before the
+// time, which a log collector may add.
 func parse(source, text string) (line, bool) {
-	at := strings.Index(text, "time=")
-	if at < 0 {
+	start := strings.Index(text, "time=")
+	if start < 0 {
 		return line{}, false
 	}
-	l := line{source: source, fields: make(map[string]string), text: text[at:]}
+	l := line{source: source, fields: make(map[string]string), text: text[start:]}
 	for rest := l.text; rest != ""; {
 		name, after, ok := strings.Cut(rest, "=")
 		if !ok {
@@ -73,15 +73,15 @@
 		value, rest = cutValue(after)
 		l.fields[strings.TrimSpace(name)] = value
 	}
-	moment, err := time.Parse(time.RFC3339Nano, l.fields["time"])
+	timestamp, err := time.Parse(time.RFC3339Nano, l.fields["time"])
 	if err != nil {
 		return line{}, false
 	}
-	l.at = moment
+	l.time = timestamp
 	return l, true
 }
 
-// cutValue splits the value at the start of the text from what follows.
+// cutValue splits the text after its first value.
 func cutValue(text string) (value, rest string) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
@@ -98,44 +98,43 @@
 	return text, ""
 }
 
-// Story writes what the logs tell of the request, in order of time, and before
-// it what each process that had it believed. It tells whether anything was
-// found.
+// Story writes the lines of the request in order of time, preceded by the state of
+// each process that handled it. It reports whether a line was found.
 func Story(w io.Writer, id string, logs ...*Log) (found bool, err error) {
-	var told []line
+	var merged []line
 	for _, log := range logs {
-		own := log.of(id)
-		if len(own) == 0 {
+		requestLines := log.linesOf(id)
+		if len(requestLines) == 0 {
 			continue
 		}
-		told = append(told, own...)
-		if _, err := fmt.Fprintf(w, "%s believed before:\n", log.source); err != nil {
+		merged = append(merged, requestLines...)
+		if _, err := fmt.Fprintf(w, "state of %s before the request:\n", log.source); err != nil {
 			return true, err
 		}
-		for _, l := range log.believed(own) {
-			if _, err := fmt.Fprintf(w, "  %8s earlier  %s\n", own[0].at.Sub(l.at).Round(time.Millisecond), l.brief()); err != nil {
+		for _, l := range log.stateBefore(requestLines) {
+			if _, err := fmt.Fprintf(w, "  %8s earlier  %s\n", requestLines[0].time.Sub(l.time).Round(time.Millisecond), l.summary()); err != nil {
 				return true, err
 			}
 		}
 	}
-	if len(told) == 0 {
+	if len(merged) == 0 {
 		return false, nil
 	}
-	sort.SliceStable(told, func(i, j int) bool { return told[i].at.Before(told[j].at) })
-	_, err = fmt.Fprintf(w, "request %s (each process by its own clock):\n", id)
-	for _, l := range told {
+	sort.SliceStable(merged, func(i, j int) bool { return merged[i].time.Before(merged[j].time) })
+	_, err = fmt.Fprintf(w, "request %s (times are from the clock of each process):\n", id)
+	for _, l := range merged {
 		if err != nil {
 			return true, err
 		}
-		_, err = fmt.Fprintf(w, "  %s  %s  %s\n", l.at.Format("15:04:05.000"), l.source, l.brief())
+		_, err = fmt.Fprintf(w, "  %s  %s  %s\n", l.time.Format("15:04:05.000"), l.source, l.summary())
 	}
 	return true, err
 }
 
-// Restarts returns, for the log of a process that was started anew, when: what it
-// had in hand before left no last line if it was killed.
+// Restarts returns a line for each restart of a process, with its time. If the process
+// was killed, its requests in flight have no final log line.
 func Restarts(logs ...*Log) []string {
-	var all []string
+	var restarts []string
 	for _, log := range logs {
 		started := 0
 		for _, l := range log.lines {
@@ -144,54 +143,55 @@
 			}
 			started++
 			if started > 1 {
-				all = append(all, fmt.Sprintf("%s started anew at %s", log.source, l.at.Format("15:04:05.000")))
+				restarts = append(restarts, fmt.Sprintf("%s restarted at %s", log.source, l.time.Format("15:04:05.000")))
 			}
 		}
 	}
-	return all
+	return restarts
 }
 
-func (l *Log) of(id string) []line {
-	var own []line
+// linesOf returns the lines of the request.
+func (l *Log) linesOf(id string) []line {
+	var matching []line
 	for _, line := range l.lines {
 		if line.fields["id"] == id {
-			own = append(own, line)
+			matching = append(matching, line)
 		}
 	}
-	return own
+	return matching
 }
 
-// believed returns the last lines before the request's first that tell what was
-// in force; of upstreams and peers only those that the request met.
-func (l *Log) believed(own []line) []line {
-	met := make(map[string]bool)
-	for _, line := range own {
-		met[line.fields["upstream"]] = true
-		for _, tried := range strings.Fields(strings.Trim(line.fields["tried"], "[]")) {
-			met[tried] = true
+// stateBefore returns the last line of each state before the end of the request. Of
+// upstreams it includes only those that the request was sent to.
+func (l *Log) stateBefore(requestLines []line) []line {
+	requestUpstreams := make(map[string]bool)
+	for _, line := range requestLines {
+		requestUpstreams[line.fields["upstream"]] = true
+		for _, upstream := range strings.Fields(strings.Trim(line.fields["tried"], "[]")) {
+			requestUpstreams[upstream] = true
 		}
 	}
-	last := make(map[string]line)
+	lastLines := make(map[string]line)
 	for _, line := range l.lines {
-		about, ok := beliefs[line.fields["msg"]]
-		if !ok || line.at.After(own[len(own)-1].at) {
+		subject, ok := stateMessages[line.fields["msg"]]
+		if !ok || line.time.After(requestLines[len(requestLines)-1].time) {
 			continue
 		}
-		if about == "upstream" && !met[line.fields[about]] {
+		if subject == "upstream" && !requestUpstreams[line.fields[subject]] {
 			continue
 		}
-		last[line.fields["msg"]+line.fields[about]] = line
+		lastLines[line.fields["msg"]+line.fields[subject]] = line
 	}
-	var all []line
-	for _, line := range last {
-		all = append(all, line)
+	var states []line
+	for _, line := range lastLines {
+		states = append(states, line)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].at.Before(all[j].at) })
-	return all
+	sort.Slice(states, func(i, j int) bool { return states[i].time.Before(states[j].time) })
+	return states
 }
 
-// brief is the line without its time, level and id.
-func (l line) brief() string {
+// summary returns the line without its time, level and request ID.
+func (l line) summary() string {
 	text := l.text
 	for _, name := range []string{"time", "level", "id"} {
 		if value, ok := l.fields[name]; ok {
--- a/internal/observe/explain/explain_test.go
+++ b/internal/observe/explain/explain_test.go
@@ -11,10 +11,10 @@
 	"github.com/persimmonridge/persimmonridge/internal/observe/explain"
 )
 
-// A caller's stream broke off. In the morning there is its id and the logs: the
-// story names the upstream that broke off, why it was not resumed, and which
-// configuration and scheduler were in force, not those of later.
-func TestStoryOfABrokenStream(t *testing.T) {
+// The logs must explain an aborted stream by its request ID: which upstream broke it
+// off, why it was not resumed, and which configuration and scheduler were active then,
+// not later.
+func TestStoryOfAnAbortedStream(t *testing.T) {
 	file, err := os.Open("testdata/edge-1.log")
 	require.NoError(t, err)
 	defer func() { require.NoError(t, file.Close()) }()
@@ -30,21 +30,21 @@
 
 	found, err = explain.Story(&got, "r2", log)
 	require.NoError(t, err)
-	require.True(t, found, "a collector's words before a line are skipped")
+	require.True(t, found, "text of a log collector before a line must be skipped")
 	found, err = explain.Story(&got, "r3", log)
 	require.NoError(t, err)
 	require.False(t, found)
 }
 
-// A caller's connection ended without an answer, and no log has a line of it: the
-// process that had the request was killed. What can be told is when that was.
-func TestRestartsAreToldOfRequestsWithoutALine(t *testing.T) {
+// If a request has no line in any log because its process was killed, the time of the
+// restart must be found.
+func TestRestartsAreFound(t *testing.T) {
 	text := `time=2026-06-20T12:15:33.000Z level=INFO msg=started name=edge-1
 time=2026-06-20T12:15:40.250Z level=INFO msg=started name=edge-1
 `
 	log, err := explain.Read("edge-1", strings.NewReader(text))
 	require.NoError(t, err)
-	require.Equal(t, []string{"edge-1 started anew at 12:15:40.250"}, explain.Restarts(log))
+	require.Equal(t, []string{"edge-1 restarted at 12:15:40.250"}, explain.Restarts(log))
 }
 
 func FuzzRead(f *testing.F) {
