--- a/internal/observe/logs/logs.go
+++ b/internal/observe/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs writes structured lines without ever holding up who logs them,
-// and bounds how many are written.
+// Package logs writes structured log lines without ever blocking the caller, and
+// limits their rate.
 package logs
 
 import (
@@ -12,70 +12,72 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader of the output: some
-	// seconds of a busy process.
-	queueLines = 4096
-	// ordinaryPerSecond bounds the lines below level Info: requests that went
-	// well. A process of the
-	// first users' sites serves some fifty requests a second; in a burst a
-	// sample is enough, since metrics have the counts.
-	ordinaryPerSecond = 100
-	// importantPerSecond bounds all others: what went badly and what changed,
-	// which are the ones that are looked for afterwards.
-	importantPerSecond = 1000
-	// tellEvery is how often lines that were left out are told.
-	tellEvery = time.Second
+	// maxQueuedLines is how many lines are queued for a slow reader of the output: a
+	// few seconds of a busy process.
+	maxQueuedLines = 4096
+	// maxOrdinaryPerSecond limits the lines below level Info, which are those of
+	// successful requests. At the first users' sites a process serves about fifty
+	// requests per second; of a burst a sample is enough, since the metrics have the
+	// counts.
+	maxOrdinaryPerSecond = 100
+	// maxImportantPerSecond limits all other lines: failures and changes of state,
+	// which are the ones that are searched for later.
+	maxImportantPerSecond = 1000
+	// limitInterval is the interval to which the limits apply.
+	limitInterval = time.Second
 )
 
-// Handler is a slog.Handler over text lines. Close flushes what waits.
+// Handler is a slog.Handler that writes text lines. Close flushes the queue.
 type Handler struct {
 	*sink
 	text slog.Handler
 }
 
-// sink is what all handlers of one output share.
+// sink is the queue and the rate limits of an output, which all of its handlers
+// share.
 type sink struct {
 	now   func() time.Time
 	lines chan []byte
 	done  chan struct{}
 
 	mu                  sync.Mutex
-	second              time.Time
+	intervalStart       time.Time
 	ordinary, important int
 	closed              bool
 
-	// sampled counts lines beyond the bounds, dropped those that a slow reader
-	// of the output left no room for.
+	// sampled counts the lines above the rate limits, dropped those for which the
+	// queue was full.
 	sampled, dropped atomic.Int64
 }
 
-// New returns a handler that writes to the output.
+// New returns a handler that writes to the output, in a goroutine of its own.
 func New(output io.Writer, now func() time.Time) *Handler {
-	s := &sink{now: now, lines: make(chan []byte, queueLines), done: make(chan struct{})}
-	go s.write(output)
-	return &Handler{sink: s, text: slog.NewTextHandler(s, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: message})}
+	s := &sink{now: now, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
+	go s.writeQueued(output)
+	return &Handler{sink: s, text: slog.NewTextHandler(s, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: errorMessage})}
 }
 
-// message writes errors as what they say. Left to itself, the text handler writes
-// the stack of each error of the kinds that carry one: some 600 bytes a line, in
-// which a failure of many requests at once drowned what they had in common.
-func message(_ []string, a slog.Attr) slog.Attr {
+// errorMessage replaces errors by their message. By default the text handler also
+// writes the stack traces of errors that have one: about 600 bytes per line, which hide
+// the common cause when many requests fail at once.
+func errorMessage(_ []string, a slog.Attr) slog.Attr {
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
 	}
 	return a
 }
 
-// write is the only one that waits for the output.
-func (s *sink) write(output io.Writer) {
+// writeQueued writes the queued lines. It is the only function that waits for the
+// output.
+func (s *sink) writeQueued(output io.Writer) {
 	defer close(s.done)
 	for line := range s.lines {
-		// There is nobody to tell that the log cannot be written.
+		// An error of the log's own output cannot be logged.
 		_, _ = output.Write(line)
 	}
 }
 
-// Write takes a line from the text handler. It never blocks.
+// Write queues a line of the text handler. It never blocks.
 func (s *sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +92,7 @@
 	return len(line), nil
 }
 
-// Close writes what waits, for as long as the context allows.
+// Close writes the queued lines until the context ends.
 func (s *sink) Close(ctx context.Context) error {
 	s.mu.Lock()
 	if !s.closed {
@@ -120,20 +122,20 @@
 	return h.text.Handle(ctx, record)
 }
 
-// admit tells whether one more line of the level is within the second's bound.
+// admit reports whether another line of the level is within the rate limit.
 func (s *sink) admit(level slog.Level) bool {
 	now := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.second) >= tellEvery {
-		s.second, s.ordinary, s.important = now, 0, 0
+	if now.Sub(s.intervalStart) >= limitInterval {
+		s.intervalStart, s.ordinary, s.important = now, 0, 0
 	}
 	if level >= slog.LevelInfo {
 		s.important++
-		return s.important <= importantPerSecond
+		return s.important <= maxImportantPerSecond
 	}
 	s.ordinary++
-	return s.ordinary <= ordinaryPerSecond
+	return s.ordinary <= maxOrdinaryPerSecond
 }
 
 // WithAttrs implements slog.Handler.
@@ -146,6 +148,6 @@
 	return &Handler{sink: h.sink, text: h.text.WithGroup(name)}
 }
 
-// LeftOut returns the lines beyond the bounds and those for which a slow reader
-// of the output left no room, since the process started.
+// LeftOut returns how many lines were above the rate limits, and for how many the
+// queue was full, since the process started.
 func (s *sink) LeftOut() (sampled, dropped int64) { return s.sampled.Load(), s.dropped.Load() }
--- a/internal/observe/logs/logs_test.go
+++ b/internal/observe/logs/logs_test.go
@@ -15,21 +15,21 @@
 	"github.com/persimmonridge/persimmonridge/internal/observe/logs"
 )
 
-// stuck is an output that nobody reads until it is released.
-type stuck struct {
+// blockedOutput is an output that blocks until it is released.
+type blockedOutput struct {
 	release chan struct{}
 	text    bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.release
 	return s.text.Write(p)
 }
 
-// Whatever reads the standard output hangs for a minute. Requests must go on:
-// lines wait, then are dropped and counted, and nobody waits for them.
-func TestStuckOutputHoldsUpNobody(t *testing.T) {
-	output := &stuck{release: make(chan struct{})}
+// Guards against requests that wait for the log when the reader of the standard output
+// hangs. Lines must be queued, and then dropped and counted.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{})}
 	now := time.Unix(1_000_000, 0)
 	handler := logs.New(output, func() time.Time { return now })
 	logger := slog.New(handler)
@@ -44,8 +44,9 @@
 	require.EqualValues(t, 20_000, int64(strings.Count(output.text.String(), "\n"))+dropped)
 }
 
-// An engine crashed and 140 streams broke off. Each line carried the stack of the
-// error, with paths of the machine it was built on, in place of its cause alone.
+// Guards against errors that are logged with their stack trace, including paths of the
+// build machine, instead of their cause alone: an engine crashed and 140 streams broke
+// off, with a trace in each line.
 func TestErrorsAreWrittenAsTheirMessage(t *testing.T) {
 	var output bytes.Buffer
 	handler := logs.New(&output, time.Now)
@@ -56,8 +57,9 @@
 	require.NotContains(t, output.String(), "logs_test.go")
 }
 
-// A burst of good requests is sampled; every bad one is kept.
-func TestBurstIsSampledAndBadRequestsAreKept(t *testing.T) {
+// In a burst the lines of successful requests are sampled, and those of all failed
+// requests are written.
+func TestBurstIsSampledAndFailuresAreKept(t *testing.T) {
 	var output bytes.Buffer
 	now := time.Unix(1_000_000, 0)
 	handler := logs.New(&output, func() time.Time { return now })
