--- a/internal/limit/retry/retry_test.go
+++ b/internal/limit/retry/retry_test.go
@@ -19,26 +19,26 @@
 		gateways = append(gateways, retry.New(settings, func() int { return 5 }))
 	}
 	start := time.Unix(1_000_000, 0)
-	var repeats []time.Time
+	var retries []time.Time
 	const perSecond = 60
 	for i := range 30 * perSecond {
 		now := start.Add(time.Duration(i) * time.Second / perSecond)
 		g := gateways[i%len(gateways)]
 		g.Sent(now, "s")
 		if g.Take(now, "s") {
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
-	for i, first := range repeats {
+	for i, first := range retries {
 		count := 0
-		for _, at := range repeats[i:] {
+		for _, at := range retries[i:] {
 			if at.Sub(first) <= settings.Window {
 				count++
 			}
 		}
 		require.LessOrEqual(t, float64(count), settings.Share*perSecond*10+settings.Slack)
 	}
-	require.Greater(t, len(repeats), 30*perSecond/10, "the fleet must use what it is allowed")
+	require.Greater(t, len(retries), 30*perSecond/10, "the fleet must use what it is allowed")
 }
 
 // Guards against resumable streams that are aborted when many engines crash at once.
@@ -69,18 +69,18 @@
 	}
 	start := time.Unix(1_000_000, 0)
 	const perSecond = 500
-	var repeats []time.Time
+	var retries []time.Time
 	for i := range 40 * perSecond {
 		now := start.Add(time.Duration(i) * time.Second / perSecond)
 		g := gateways[i%len(gateways)]
 		g.Sent(now, "s")
 		if now.Sub(start) > 15*time.Second && g.Take(now, "s") {
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
 	first := 0
-	for last, at := range repeats {
-		for at.Sub(repeats[first]) > settings.Window {
+	for last, at := range retries {
+		for at.Sub(retries[first]) > settings.Window {
 			first++
 		}
 		require.LessOrEqual(t, float64(last-first+1), settings.Share*perSecond*10+settings.Slack)
