--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -1,6 +1,7 @@
 // Package mesh connects the gateways with each other. Each gateway exchanges gossip
 // about its state with a few peers, the hubs, which exchange gossip with all others.
-// A peer is alive while its gossip is recent. In a small fleet every gateway is a hub.
+// A gateway hears a peer from which it receives gossip, and the peer is alive while the
+// last gossip is recent. In a small fleet every gateway is a hub.
 package mesh
 
 import (
@@ -93,9 +94,13 @@
 	Peer
 	// address never changes, so the sender goroutine reads it without the lock.
 	address string
-	queue   chan *wire.Envelope
+	// queue holds the messages to send. A nil message closes the stream, so that the
+	// sender opens a new one.
+	queue chan *wire.Envelope
 	// cancel stops the sender goroutine; it is nil if there is none.
-	cancel         context.CancelFunc
+	cancel context.CancelFunc
+	// lastAdvertised is when the settings, the store or a peer last reported
+	// the address.
 	lastAdvertised time.Time
 	// advertisedRank is the rank reported by the store or by another peer.
 	advertisedRank int64
@@ -157,8 +162,8 @@
 	m.mu.Lock()
 	m.ctx, m.group = ctx, group
 	m.hubSince = m.now()
-	// Peers may be added at any time, and each starts a goroutine in the group.
-	// This goroutine starts before and ends after all of those.
+	// Peers may be added at any time, and their senders are goroutines of the group.
+	// This goroutine is the group's first, and none is added after it has ended.
 	group.Go(func() error {
 		defer m.close()
 		return m.runGossip(ctx)
@@ -214,7 +219,8 @@
 		}
 		m.writeQueued(ctx, p, stream)
 		m.pool.Replace(p.address, stream.Session())
-		// The stream has already failed; the write error was logged.
+		// The stream is no longer used, so the error does not matter; a write error
+		// was logged.
 		_ = stream.Close()
 	}
 }
