--- a/internal/dispatch/index/index.go
+++ b/internal/dispatch/index/index.go
@@ -1,6 +1,7 @@
-// Package index ranks the candidates of one request. Each policy is a pure
-// function of what the entry knows of them; docs/INDEX.md has the measurement
-// that chose the one in use.
+// Package index implements the dispatching policies that choose one of the
+// candidates of a request. Each policy is a function of the entry's view of the
+// candidates; docs/INDEX.md has the measurements behind the choice of the policy
+// in use.
 package index
 
 import (
@@ -9,45 +10,46 @@
 	"time"
 )
 
-// View is what an entry knows of one upstream, corrected by what it sent
-// there since the upstream's last report.
+// View is an entry's view of one upstream: its last report, corrected by the
+// requests that the entry has sent there since.
 type View struct {
-	// Backlog is the work that waits or runs, in time at this upstream's speed.
+	// Backlog is the waiting and running work, in time at this upstream's speed.
 	Backlog time.Duration
-	// Jobs is the number that wait or run.
+	// Jobs is the number of waiting and running requests.
 	Jobs int
-	// Slots is how many may run at once.
+	// Slots is the maximum number of requests that run at once.
 	Slots int
-	// Speed is the upstream's speed relative to the others'.
+	// Speed is the upstream's speed relative to the other upstreams.
 	Speed float64
-	// Cached is the share of this request's prefill found in its cache.
+	// Cached is the share of this request's prefill that its cache saves.
 	Cached float64
 }
 
-// Job is what an entry knows of the request.
+// Job is the expected size of a request.
 type Job struct {
-	// Decode is the expected time of the answer at speed 1.
+	// Decode is the expected decode time of the answer at speed 1.
 	Decode time.Duration
-	// Prefill is the time of the prompt without cache at speed 1.
+	// Prefill is the prefill time of the prompt at speed 1, without cache.
 	Prefill time.Duration
-	// Cost is the holding cost rate; higher tiers cost more.
+	// Cost is the holding cost rate; it is higher for higher tiers.
 	Cost float64
 }
 
-// Traffic is what the paper's value functions need of the arrivals.
+// Traffic describes the arrival process, for the value functions of MarginalCost
+// and Lookahead.
 type Traffic struct {
-	// Rate is arrivals a second, over all upstreams.
+	// Rate is the number of arrivals per second over all upstreams.
 	Rate float64
-	// MeanSize and MeanSquare are the first two moments of the size, in
-	// seconds at speed 1.
+	// MeanSize and MeanSquare are the first two moments of the service time at
+	// speed 1, in seconds.
 	MeanSize   float64
 	MeanSquare float64
 }
 
-// Policy chooses one of the views for a job.
+// Policy returns the index of the view that a job is sent to.
 type Policy func(views []View, job Job, traffic Traffic, random *rand.Rand) int
 
-// Registry holds every policy by its name.
+// Registry maps names to policies.
 var Registry = map[string]Policy{
 	"random-of-two":       RandomOfTwo,
 	"join-shortest-queue": JoinShortestQueue,
@@ -60,7 +62,8 @@
 	"cached-lookahead":    CachedLookahead,
 }
 
-// RandomOfTwo takes the shorter of two random queues.
+// RandomOfTwo chooses the shorter queue of two random upstreams (power of two
+// choices).
 func RandomOfTwo(views []View, _ Job, _ Traffic, random *rand.Rand) int {
 	a, b := random.IntN(len(views)), random.IntN(len(views))
 	if views[b].Jobs < views[a].Jobs {
@@ -69,54 +72,55 @@
 	return a
 }
 
-// JoinShortestQueue takes the upstream with the fewest jobs.
+// JoinShortestQueue chooses the upstream with the fewest jobs.
 func JoinShortestQueue(views []View, _ Job, _ Traffic, _ *rand.Rand) int {
-	return least(views, func(v View) float64 { return float64(v.Jobs) })
+	return argMin(views, func(v View) float64 { return float64(v.Jobs) })
 }
 
-// LeastWorkLeft takes the upstream with the least backlog.
+// LeastWorkLeft chooses the upstream with the smallest backlog.
 func LeastWorkLeft(views []View, _ Job, _ Traffic, _ *rand.Rand) int {
-	return least(views, func(v View) float64 { return v.Backlog.Seconds() })
+	return argMin(views, func(v View) float64 { return v.Backlog.Seconds() })
 }
 
-// Myopic takes the earliest finish of this job, as if no cache existed.
+// Myopic chooses the upstream with the earliest expected finish of this job,
+// ignoring caches.
 func Myopic(views []View, job Job, _ Traffic, _ *rand.Rand) int {
-	return least(views, func(v View) float64 { return v.Wait().Seconds() + size(job)/v.Speed })
+	return argMin(views, func(v View) float64 { return v.Wait().Seconds() + serviceTime(job)/v.Speed })
 }
 
-// ExpectedFinish takes the earliest finish, with the prefill that the
-// upstream's cache saves.
+// ExpectedFinish chooses the upstream with the earliest expected finish of this
+// job, including the prefill that the upstream's cache saves.
 func ExpectedFinish(views []View, job Job, _ Traffic, _ *rand.Rand) int {
-	return least(views, func(v View) float64 { return Finish(v, job) })
+	return argMin(views, func(v View) float64 { return Finish(v, job) })
 }
 
-// prefillWeight is how much dearer a second of prefill is than one of waiting:
-// besides this job's own time it takes the engine's, and evicts a prefix that
-// the next job would have found. docs/INDEX.md has the measurement.
-const prefillWeight = 5
+// prefillCostFactor is the cost of a second of prefill relative to a second of
+// waiting: besides delaying this job, prefill occupies the engine and evicts
+// cached prefixes that later jobs would use. docs/INDEX.md has the measurement.
+const prefillCostFactor = 5
 
-// WeightedPrefill is ExpectedFinish with prefill weighed by what it costs
-// others.
+// WeightedPrefill is ExpectedFinish plus the cost of the job's prefill to other
+// jobs.
 func WeightedPrefill(views []View, job Job, _ Traffic, _ *rand.Rand) int {
-	return least(views, func(v View) float64 { return Weighted(v, job) })
+	return argMin(views, func(v View) float64 { return Weighted(v, job) })
 }
 
-// Weighted returns the expected finish, in seconds, and what the job's prefill
-// costs others.
+// Weighted returns the expected time until the job is finished plus the cost of
+// its prefill to other jobs, in seconds.
 func Weighted(v View, job Job) float64 {
 	prefill := job.Prefill.Seconds() * (1 - v.Cached) / v.Speed
-	return Finish(v, job) + (prefillWeight-1)*prefill
+	return Finish(v, job) + (prefillCostFactor-1)*prefill
 }
 
-// CachedLookahead is the paper's formula 8 with the prefill that the
-// upstream's cache saves taken off the job's size there.
+// CachedLookahead is Lookahead without the prefill that the upstream's cache
+// saves.
 func CachedLookahead(views []View, job Job, traffic Traffic, _ *rand.Rand) int {
 	total := totalSpeed(views)
 	best, bestCost := 0, math.Inf(1)
 	for i, v := range views {
-		left := job
-		left.Prefill = time.Duration(float64(job.Prefill) * (1 - v.Cached))
-		cost := marginal(v, left, traffic, total) + secondAction(views, i, left, traffic, total)
+		remaining := job
+		remaining.Prefill = time.Duration(float64(job.Prefill) * (1 - v.Cached))
+		cost := marginalCost(v, remaining, traffic, total) + secondAction(views, i, remaining, traffic, total)
 		if cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -131,20 +135,20 @@
 }
 
 // MarginalCost is formula 5 of "Lookahead Actions in Dispatching to Parallel
-// Queues" (Hyytiä): u_i b + g_i (x/v_i)(2 u_i - x/v_i) with a Bernoulli split
+// Queues" (Hyytiä): u_i b + g_i (x/v_i)(2 u_i - x/v_i), with a Bernoulli split
 // by speed as the basic policy.
 func MarginalCost(views []View, job Job, traffic Traffic, _ *rand.Rand) int {
 	total := totalSpeed(views)
-	return least(views, func(v View) float64 { return marginal(v, job, traffic, total) })
+	return argMin(views, func(v View) float64 { return marginalCost(v, job, traffic, total) })
 }
 
-// Lookahead is the paper's formula 8: the marginal cost with the best fixed
-// second action, over all upstreams.
+// Lookahead is formula 8 of the same paper: the marginal cost with the best fixed
+// second action over all upstreams.
 func Lookahead(views []View, job Job, traffic Traffic, _ *rand.Rand) int {
 	total := totalSpeed(views)
 	best, bestCost := 0, math.Inf(1)
 	for i := range views {
-		cost := marginal(views[i], job, traffic, total) + secondAction(views, i, job, traffic, total)
+		cost := marginalCost(views[i], job, traffic, total) + secondAction(views, i, job, traffic, total)
 		if cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -152,41 +156,42 @@
 	return best
 }
 
-// secondAction is what formula 8 adds to formula 5 for the first action i.
+// secondAction returns the term that formula 8 adds to formula 5 for the first
+// action i.
 func secondAction(views []View, i int, job Job, traffic Traffic, total float64) float64 {
 	rate := traffic.Rate
-	later, next := 0.0, math.Inf(1)
+	waitSum, minNext := 0.0, math.Inf(1)
 	for j, v := range views {
 		u := v.Wait().Seconds()
 		if j == i {
-			u += size(job) / v.Speed
+			u += serviceTime(job) / v.Speed
 		}
-		g := weight(v, traffic, total)
+		g := waitWeight(v, traffic, total)
 		idle := math.Exp(-rate * u)
-		later += g * (1 - rate*u - idle)
+		waitSum += g * (1 - rate*u - idle)
 		x, x2 := traffic.MeanSize/v.Speed, traffic.MeanSquare/(v.Speed*v.Speed)
-		next = min(next, (1+2*g*x)*(u-(1-idle)/rate)+g*x2+x)
+		minNext = min(minNext, (1+2*g*x)*(u-(1-idle)/rate)+g*x2+x)
 	}
-	return 2/(rate*rate)*later + next
+	return 2/(rate*rate)*waitSum + minNext
 }
 
-func marginal(v View, job Job, traffic Traffic, total float64) float64 {
-	x := size(job) / v.Speed
+func marginalCost(v View, job Job, traffic Traffic, total float64) float64 {
+	x := serviceTime(job) / v.Speed
 	u := v.Wait().Seconds() + x
-	return u*job.Cost + weight(v, traffic, total)*x*(2*u-x)
+	return u*job.Cost + waitWeight(v, traffic, total)*x*(2*u-x)
 }
 
-// weight is the paper's g_i = λ_i E[B] / (2 (1 - ρ_i)), E[B] being 1.
-func weight(v View, traffic Traffic, total float64) float64 {
-	// highestLoad keeps the formula finite when the estimate of the load
-	// reaches 1; the paper assumes a stable system.
-	const highestLoad = 0.98
+// waitWeight is the paper's g_i = λ_i E[B] / (2 (1 - ρ_i)), E[B] being 1.
+func waitWeight(v View, traffic Traffic, total float64) float64 {
+	// maxLoad keeps the formula finite when the estimated load reaches 1; the
+	// paper assumes a stable system.
+	const maxLoad = 0.98
 	rate := traffic.Rate * v.Speed / total
-	load := min(rate*traffic.MeanSize/v.Speed, highestLoad)
+	load := min(rate*traffic.MeanSize/v.Speed, maxLoad)
 	return rate / (2 * (1 - load))
 }
 
-// Wait is the expected time until a slot is free.
+// Wait returns the expected time until a slot is free.
 func (v View) Wait() time.Duration {
 	if v.Jobs < v.Slots {
 		return 0
@@ -194,7 +199,7 @@
 	return v.Backlog / time.Duration(max(v.Slots, 1))
 }
 
-func size(job Job) float64 { return (job.Prefill + job.Decode).Seconds() }
+func serviceTime(job Job) float64 { return (job.Prefill + job.Decode).Seconds() }
 
 func totalSpeed(views []View) float64 {
 	total := 0.0
@@ -204,13 +209,14 @@
 	return total
 }
 
-// least breaks ties towards the faster upstream, then the first.
-func least(views []View, cost func(View) float64) int {
+// argMin returns the index of the view with the lowest cost. Ties are resolved in
+// favor of the faster upstream, then the first one.
+func argMin(views []View, cost func(View) float64) int {
 	best, bestCost := 0, math.Inf(1)
 	for i, v := range views {
-		c := cost(v)
-		if c < bestCost || c == bestCost && v.Speed > views[best].Speed {
-			best, bestCost = i, c
+		viewCost := cost(v)
+		if viewCost < bestCost || viewCost == bestCost && v.Speed > views[best].Speed {
+			best, bestCost = i, viewCost
 		}
 	}
 	return best
