--- a/internal/dispatch/candidate/candidate.go
+++ b/internal/dispatch/candidate/candidate.go
@@ -1,7 +1,7 @@
-// Package candidate narrows all upstreams down to the few that a request may
-// go to, by weighted rendezvous hashing. Every entry finds the same few with
-// no exchange of state, so a prefix keeps meeting the cache that holds it,
-// and an entry needs to know only the upstreams it may choose.
+// Package candidate selects the few upstreams that a request may go to, by
+// weighted rendezvous hashing. Every entry selects the same candidates without
+// exchanging state, so requests with the same prefix keep going to the upstreams
+// that have it cached, and an entry needs to track only its candidates.
 package candidate
 
 import (
@@ -11,18 +11,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is one upstream as hashing sees it.
+// Member is an upstream's name hash and weight.
 type Member struct {
-	seed   uint64
+	hash   uint64
 	weight float64
 }
 
-// NewMember returns a member; weight is its relative capacity, above 0.
+// NewMember returns a member. The weight is its relative capacity and must be
+// positive.
 func NewMember(name string, weight float64) Member {
-	return Member{seed: xxhash.Sum64String(name), weight: weight}
+	return Member{hash: xxhash.Sum64String(name), weight: weight}
 }
 
-// Key returns the key of a request: its workspace and its prompt's prefix.
+// Key returns the hash key of a request, from its workspace and the hash of its
+// prompt prefix.
 func Key(workspace string, prefix uint64) uint64 {
 	return mix(xxhash.Sum64String(workspace) ^ prefix)
 }
@@ -30,9 +32,9 @@
 // Most is the largest number of candidates that Choose returns.
 const Most = 32
 
-// Choose writes the indices of the k members that rank highest for the key
-// into dst, best first, and returns that part of it. It allocates nothing when
-// dst has room.
+// Choose appends the indices of the k members that score highest for the key to
+// dst[:0], best first, and returns it. It does not allocate if dst has capacity
+// for k indices.
 func Choose(dst []int, members []Member, key uint64, k int) []int {
 	var scores [Most]float64
 	k = min(k, Most, len(members))
@@ -40,18 +42,18 @@
 	if k == 0 {
 		return dst
 	}
-	// worst is the score to beat, 0 until k members are held.
-	worst := 0.0
+	// threshold is the lowest score in dst, 0 until dst has k members.
+	threshold := 0.0
 	for index := range members {
 		m := &members[index]
-		u := unit(scramble(m.seed ^ key))
-		// -ln(u) is at least 1-u, so weight/(1-u) bounds the score from above;
-		// most members are passed over without a logarithm.
-		if m.weight <= worst*(1-u) {
+		u := unitInterval(foldHash(m.hash ^ key))
+		// -ln(u) >= 1-u, so weight/(1-u) is an upper bound of the score; most
+		// members are skipped without computing a logarithm.
+		if m.weight <= threshold*(1-u) {
 			continue
 		}
 		score := m.weight / -math.Log(u)
-		if score <= worst {
+		if score <= threshold {
 			continue
 		}
 		if len(dst) < k {
@@ -59,13 +61,13 @@
 		}
 		insert(dst, scores[:len(dst)], index, score)
 		if len(dst) == k {
-			worst = scores[k-1]
+			threshold = scores[k-1]
 		}
 	}
 	return dst
 }
 
-// insert puts a member in its place; the last one falls out.
+// insert inserts a member by its score and overwrites the last one.
 func insert(dst []int, scores []float64, index int, score float64) {
 	at := len(dst) - 1
 	for at > 0 && scores[at-1] < score {
@@ -75,10 +77,11 @@
 	scores[at], dst[at] = score, index
 }
 
-// scramble folds a 128-bit product; seeds and keys are well mixed already.
-func scramble(x uint64) uint64 {
-	const odd = 0x9e3779b97f4a7c15
-	high, low := bits.Mul64(x, odd)
+// foldHash folds a 128-bit product. That suffices because name hashes and keys
+// are already well mixed.
+func foldHash(hash uint64) uint64 {
+	const multiplier = 0x9e3779b97f4a7c15
+	high, low := bits.Mul64(hash, multiplier)
 	return high ^ low
 }
 
@@ -91,7 +94,7 @@
 	return x ^ x>>31
 }
 
-// unit maps a hash to the open interval from 0 to 1.
-func unit(x uint64) float64 {
-	return (float64(x>>11) + 0.5) / (1 << 53)
+// unitInterval maps a hash to the open interval (0, 1).
+func unitInterval(hash uint64) float64 {
+	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
--- a/internal/dispatch/candidate/candidate_test.go
+++ b/internal/dispatch/candidate/candidate_test.go
@@ -17,26 +17,25 @@
 	return out
 }
 
-// A prefix met a cold cache after any upstream came or went, because all
-// choices were reshuffled.
-// Without its first choice a key keeps all the others, in the same order.
-func TestLosingOneMemberMovesOnlyItsKeys(t *testing.T) {
+// Guards against cold caches for all prefixes whenever an upstream comes or goes:
+// without its first choice, a key keeps all other choices in the same order.
+func TestRemovingMemberMovesOnlyItsKeys(t *testing.T) {
 	all := members(40)
 	for key := range uint64(200) {
 		before := candidate.Choose(nil, all, candidate.Key("w", key), 5)
-		lost := before[0]
-		left := append(append([]candidate.Member(nil), all[:lost]...), all[lost+1:]...)
-		after := candidate.Choose(nil, left, candidate.Key("w", key), 4)
-		for i, at := range after {
-			if at >= lost {
-				at++
+		removed := before[0]
+		remaining := append(append([]candidate.Member(nil), all[:removed]...), all[removed+1:]...)
+		after := candidate.Choose(nil, remaining, candidate.Key("w", key), 4)
+		for i, index := range after {
+			if index >= removed {
+				index++
 			}
-			require.Equal(t, before[i+1], at)
+			require.Equal(t, before[i+1], index)
 		}
 	}
 }
 
-func TestWeightsShareTheKeys(t *testing.T) {
+func TestKeysAreSharedByWeight(t *testing.T) {
 	all := members(40)
 	hits := make([]int, 4)
 	const keys = 20000
@@ -48,14 +47,14 @@
 	}
 }
 
-func TestChooseIsBoundedAndNamesEachOnce(t *testing.T) {
+func TestChooseIsBoundedAndDistinct(t *testing.T) {
 	require.Empty(t, candidate.Choose(nil, nil, 1, 3))
 	chosen := candidate.Choose(nil, members(10), 1, 100)
 	require.Len(t, chosen, 10)
 	seen := make(map[int]bool)
-	for _, at := range chosen {
-		require.False(t, seen[at])
-		seen[at] = true
+	for _, index := range chosen {
+		require.False(t, seen[index])
+		seen[index] = true
 	}
 	require.Len(t, candidate.Choose(nil, members(100), 1, 100), candidate.Most)
 }
