--- a/internal/dispatch/forecast/forecast.go
+++ b/internal/dispatch/forecast/forecast.go
@@ -1,7 +1,7 @@
-// Package forecast predicts how long an answer will be before it exists.
-// Lengths vary a hundredfold, so it keeps quantiles by workspace and action
-// and never a mean alone; old samples fade, and a route without samples
-// borrows from its action, then from a cautious default.
+// Package forecast predicts the length of an answer before it is generated.
+// Lengths vary by a factor of 100, so it tracks quantiles by workspace and action
+// instead of a mean. Old samples expire, and a route without enough samples falls
+// back to those of its action, then to a conservative default.
 package forecast
 
 import (
@@ -12,23 +12,25 @@
 )
 
 const (
-	// lowestTokens and highestTokens bound what is distinguished.
-	lowestTokens  = 1
-	highestTokens = 1 << 17
-	// digits of precision keep a histogram at a few kilobytes.
-	digits = 1
-	// enough samples make a route's own quantiles trusted.
-	enough = 8
-	// halfLife is the number of samples after which a histogram starts anew,
-	// with the previous one kept beside it: old behavior fades.
-	halfLife = 256
-	// maxRoutes bounds the state; the least recently used goes.
+	// minTokens and maxTokens bound the recorded lengths.
+	minTokens = 1
+	maxTokens = 1 << 17
+	// significantDigits is the precision of a histogram; 1 keeps it at a few
+	// kilobytes.
+	significantDigits = 1
+	// minSamples is the number of samples from which quantiles of a histogram are
+	// used.
+	minSamples = 8
+	// generationSamples is the number of samples after which a new histogram is
+	// started. The previous one is used until the new one has minSamples.
+	generationSamples = 256
+	// maxRoutes bounds the number of routes; the least recently used is evicted.
 	maxRoutes = 2048
-	// DefaultTokens is the forecast when nothing is known.
+	// DefaultTokens is the forecast without samples.
 	DefaultTokens = 60
 )
 
-// Route names whose lengths are alike.
+// Route identifies a group of answers of similar length.
 type Route struct {
 	workspace string
 	action    string
@@ -37,23 +39,23 @@
 // NewRoute returns a route.
 func NewRoute(workspace, action string) Route { return Route{workspace: workspace, action: action} }
 
-// Forecast holds learned lengths. It is safe for concurrent use.
+// Forecast records answer lengths by route. It is safe for concurrent use.
 type Forecast struct {
 	mu     sync.Mutex
 	routes map[Route]*history
 }
 
-// history is two generations of samples.
+// history holds two generations of samples.
 type history struct {
 	current  *hdrhistogram.Histogram
 	previous *hdrhistogram.Histogram
-	used     time.Time
+	lastUsed time.Time
 }
 
 // New returns a forecast without samples.
 func New() *Forecast { return &Forecast{routes: make(map[Route]*history)} }
 
-// Observe takes the length of a finished answer, in tokens.
+// Observe records the length of a finished answer, in tokens.
 func (f *Forecast) Observe(now time.Time, route Route, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -64,60 +66,60 @@
 func (f *Forecast) record(now time.Time, route Route, tokens int) {
 	h := f.routes[route]
 	if h == nil {
-		f.makeRoom()
+		f.evictIfFull()
 		h = &history{current: newHistogram()}
 		f.routes[route] = h
 	}
-	h.used = now
-	if h.current.TotalCount() >= halfLife {
+	h.lastUsed = now
+	if h.current.TotalCount() >= generationSamples {
 		h.previous, h.current = h.current, newHistogram()
 	}
-	_ = h.current.RecordValue(int64(min(max(tokens, lowestTokens), highestTokens)))
+	_ = h.current.RecordValue(int64(min(max(tokens, minTokens), maxTokens)))
 }
 
-func (f *Forecast) makeRoom() {
+func (f *Forecast) evictIfFull() {
 	if len(f.routes) < maxRoutes {
 		return
 	}
 	var oldest Route
-	var at time.Time
+	var oldestUse time.Time
 	for route, h := range f.routes {
-		if at.IsZero() || h.used.Before(at) {
-			oldest, at = route, h.used
+		if oldestUse.IsZero() || h.lastUsed.Before(oldestUse) {
+			oldest, oldestUse = route, h.lastUsed
 		}
 	}
 	delete(f.routes, oldest)
 }
 
-// Quantile returns the length below which a share q of the route's answers
-// stay, in tokens.
+// Quantile returns the q-quantile of the route's answer lengths, in tokens, with
+// q from 0 to 1.
 func (f *Forecast) Quantile(route Route, q float64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, known := range []Route{route, {action: route.action}} {
-		if tokens, ok := f.routes[known].quantile(q); ok {
+	for _, source := range []Route{route, {action: route.action}} {
+		if tokens, ok := f.routes[source].quantile(q); ok {
 			return tokens
 		}
 	}
 	return DefaultTokens
 }
 
-// Remaining returns the expected tokens still to come after so many: what the
-// median of the longer answers leaves, at least one.
-func (f *Forecast) Remaining(route Route, sofar int) int {
+// Remaining returns the expected number of remaining tokens after some have been
+// generated: the median of the longer answers minus those, at least 1.
+func (f *Forecast) Remaining(route Route, generated int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, known := range []Route{route, {action: route.action}} {
-		h := f.routes[known]
+	for _, source := range []Route{route, {action: route.action}} {
+		h := f.routes[source]
 		if _, ok := h.quantile(0.5); !ok {
 			continue
 		}
-		return max(h.medianAbove(sofar)-sofar, 1)
+		return max(h.medianAbove(generated)-generated, 1)
 	}
-	return max(DefaultTokens-sofar, DefaultTokens/10)
+	return max(DefaultTokens-generated, DefaultTokens/10)
 }
 
-// Len returns the number of routes held.
+// Len returns the number of tracked routes.
 func (f *Forecast) Len() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,36 +130,37 @@
 	if h == nil {
 		return 0, false
 	}
-	from := h.current
-	if from.TotalCount() < enough {
-		from = h.previous
+	histogram := h.current
+	if histogram.TotalCount() < minSamples {
+		histogram = h.previous
 	}
-	if from == nil || from.TotalCount() < enough {
+	if histogram == nil || histogram.TotalCount() < minSamples {
 		return 0, false
 	}
-	return int(from.ValueAtQuantile(q * 100)), true
+	return int(histogram.ValueAtQuantile(q * 100)), true
 }
 
-// medianAbove returns the median of the samples above tokens.
+// medianAbove returns the median of the samples above tokens, or 1.5 times tokens
+// if there are none.
 func (h *history) medianAbove(tokens int) int {
-	from := h.current
-	if from.TotalCount() < enough {
-		from = h.previous
+	histogram := h.current
+	if histogram.TotalCount() < minSamples {
+		histogram = h.previous
 	}
 	var below int64
-	for _, bar := range from.Distribution() {
-		if bar.To <= int64(tokens) {
-			below += bar.Count
+	for _, bucket := range histogram.Distribution() {
+		if bucket.To <= int64(tokens) {
+			below += bucket.Count
 		}
 	}
-	total := from.TotalCount()
+	total := histogram.TotalCount()
 	if below >= total {
 		return tokens + tokens/2
 	}
 	share := float64(below) / float64(total)
-	return int(from.ValueAtQuantile((share + (1-share)/2) * 100))
+	return int(histogram.ValueAtQuantile((share + (1-share)/2) * 100))
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(lowestTokens, highestTokens, digits)
+	return hdrhistogram.New(minTokens, maxTokens, significantDigits)
 }
--- a/internal/dispatch/forecast/forecast_test.go
+++ b/internal/dispatch/forecast/forecast_test.go
@@ -12,7 +12,7 @@
 
 var now = time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC)
 
-func TestColdRouteBorrowsFromItsAction(t *testing.T) {
+func TestNewRouteFallsBackToAction(t *testing.T) {
 	f := forecast.New()
 	route := forecast.NewRoute("evening", "critique")
 	require.Equal(t, forecast.DefaultTokens, f.Quantile(route, 0.5))
@@ -26,8 +26,9 @@
 	require.InDelta(t, 100, f.Quantile(route, 0.5), 10)
 }
 
-// Mixed lengths: nine tags and a critique. A mean would call all of them long.
-func TestQuantilesNotMeans(t *testing.T) {
+// Of ten answers, nine are short and one is long. A mean would predict a long
+// answer for all of them.
+func TestQuantilesOfMixedLengths(t *testing.T) {
 	f := forecast.New()
 	route := forecast.NewRoute("w", "mixed")
 	for i := range 100 {
@@ -39,10 +40,10 @@
 	}
 	require.InDelta(t, 8, f.Quantile(route, 0.5), 2)
 	require.InDelta(t, 800, f.Quantile(route, 0.95), 80)
-	require.InDelta(t, 770, f.Remaining(route, 30), 100, "past thirty tokens it is a long one")
+	require.InDelta(t, 770, f.Remaining(route, 30), 100, "an answer with more than 30 tokens is a long one")
 }
 
-func TestOldLengthsFade(t *testing.T) {
+func TestOldLengthsAgeOut(t *testing.T) {
 	f := forecast.New()
 	route := forecast.NewRoute("w", "a")
 	for range 1000 {
