--- a/internal/dispatch/budget/budget.go
+++ b/internal/dispatch/budget/budget.go
@@ -1,6 +1,6 @@
-// Package budget limits how much extra work the system may make for itself:
-// retries, widened asks, hedges and calls on the platform's store all draw on
-// a token bucket, so that overload never feeds itself.
+// Package budget limits the extra load that the system may create by itself:
+// retries, asking more upstreams, hedged requests and calls to the platform's
+// store all take tokens from a bucket, so that overload does not amplify itself.
 package budget
 
 import (
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// Bucket is a token bucket that is refilled by time, by earnings, or by both.
+// Bucket is a token bucket that is refilled over time, by Earn, or by both. It is
+// safe for concurrent use.
 type Bucket struct {
 	perSecond float64
 	capacity  float64
 
-	mu     sync.Mutex
-	tokens float64
-	last   time.Time
+	mu         sync.Mutex
+	tokens     float64
+	lastRefill time.Time
 }
 
-// New returns a full bucket that gains perSecond tokens a second and holds at
-// most capacity.
+// New returns a full bucket that is refilled with perSecond tokens per second and
+// holds at most capacity tokens.
 func New(perSecond, capacity float64) *Bucket {
 	return &Bucket{perSecond: perSecond, capacity: capacity, tokens: capacity}
 }
 
-// Take removes cost tokens if, after that, at least reserve remain. Callers
-// of low priority pass a reserve, which leaves the last tokens to the others.
+// Take removes cost tokens and returns true if at least reserve tokens remain
+// afterwards. Low-priority callers pass a reserve to leave the last tokens to
+// high-priority ones.
 func (b *Bucket) Take(now time.Time, cost, reserve float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -37,7 +39,7 @@
 	return true
 }
 
-// Earn adds tokens, as each first attempt does for the retries it allows.
+// Earn adds tokens, such as the share of a retry that each first attempt allows.
 func (b *Bucket) Earn(tokens float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,14 +47,14 @@
 }
 
 func (b *Bucket) refill(now time.Time) {
-	if b.last.IsZero() {
-		b.last = now
+	if b.lastRefill.IsZero() {
+		b.lastRefill = now
 		return
 	}
-	elapsed := now.Sub(b.last)
+	elapsed := now.Sub(b.lastRefill)
 	if elapsed <= 0 {
 		return
 	}
-	b.last = now
+	b.lastRefill = now
 	b.tokens = min(b.capacity, b.tokens+elapsed.Seconds()*b.perSecond)
 }
--- a/internal/dispatch/budget/budget_test.go
+++ b/internal/dispatch/budget/budget_test.go
@@ -11,9 +11,10 @@
 
 var start = time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC)
 
-// An outage ended and every process retried at once, which was the next outage.
-// A bucket gives its burst and then only what time and first attempts earn.
-func TestBucketBoundsRetries(t *testing.T) {
+// Guards against a second outage caused by all processes retrying at once after
+// the first one: a bucket grants its burst, then only the tokens refilled over
+// time and earned by first attempts.
+func TestBucketLimitsRetries(t *testing.T) {
 	b := budget.New(1, 5)
 	taken := 0
 	for range 100 {
@@ -31,15 +32,15 @@
 	require.False(t, b.Take(start.Add(time.Second), 1, 0))
 }
 
-func TestReserveIsLeftToTheUrgent(t *testing.T) {
+func TestReserveIsLeftToHighPriority(t *testing.T) {
 	b := budget.New(0, 4)
 	require.True(t, b.Take(start, 1, 2))
 	require.True(t, b.Take(start, 1, 2))
-	require.False(t, b.Take(start, 1, 2), "two are left to the urgent")
+	require.False(t, b.Take(start, 1, 2), "two tokens are reserved for high priority")
 	require.True(t, b.Take(start, 1, 0))
 }
 
-func TestClockThatGoesBackGivesNothing(t *testing.T) {
+func TestBackwardClockAddsNoTokens(t *testing.T) {
 	b := budget.New(1, 1)
 	require.True(t, b.Take(start, 1, 0))
 	require.False(t, b.Take(start.Add(-time.Hour), 1, 0))
