--- a/internal/upstream/admission/admission.go
+++ b/internal/upstream/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides, for one upstream, which request starts, which
-// waits and which is declined. It holds state and decides; it does no I/O,
-// starts no goroutine and reads no clock.
+// Package admission decides for one upstream which requests start, wait or are
+// declined. It only keeps state and decides: it does no I/O, starts no goroutines
+// and reads no clock.
 package admission
 
 import (
@@ -12,17 +12,18 @@
 )
 
 const (
-	// fairQuantum is how far a workspace may be ahead of the least served one.
-	fairQuantum = 2 * time.Second
-	// suspectPatience is how long a suspect waits for the upstream to be empty
-	// by itself.
-	suspectPatience = time.Second
-	// remainingFloor is the share of a run's expected work that is assumed to
-	// remain when the run has outlasted its forecast.
-	remainingFloor = 0.1
+	// fairnessQuantum is how much more work than the least served workspace
+	// another one may be served.
+	fairnessQuantum = 2 * time.Second
+	// maxSuspectWait is how long a suspect waits for the upstream to become idle
+	// before other requests are held back for it.
+	maxSuspectWait = time.Second
+	// minRemainingShare is the share of a run's expected work that is assumed to
+	// remain when the run has exceeded its forecast.
+	minRemainingShare = 0.1
 )
 
-// Ticket is one offered request.
+// Ticket is an offered request.
 type Ticket struct {
 	id         string
 	workspace  string
@@ -32,28 +33,29 @@
 	work       time.Duration
 	repeatSafe bool
 	suspect    bool
-	patience   time.Duration
+	maxWait    time.Duration
 
-	arrivedAt time.Time
-	startedAt time.Time
-	preempted bool
+	enqueuedAt time.Time
+	startedAt  time.Time
+	preempted  bool
 }
 
-// TicketOption sets a property of a ticket that most do not have.
+// TicketOption sets an optional property of a ticket.
 type TicketOption func(*Ticket)
 
-// RepeatSafe marks a request whose run may be canceled for a higher tier.
+// RepeatSafe marks a request that is safe to run again, so that its run may be
+// canceled for a higher tier.
 func RepeatSafe() TicketOption { return func(t *Ticket) { t.repeatSafe = true } }
 
-// Suspect marks a request that ran on an upstream which died.
+// Suspect marks a request that was running on an upstream when it crashed.
 func Suspect() TicketOption { return func(t *Ticket) { t.suspect = true } }
 
-// Patience hands a request back after it has waited so long; it was not shed,
-// and its entry places it anew.
-func Patience(d time.Duration) TicketOption { return func(t *Ticket) { t.patience = d } }
+// Patience bounds the waiting time: a request that waits longer is declined with
+// REASON_PATIENCE, which is not load shedding, and its entry places it again.
+func Patience(d time.Duration) TicketOption { return func(t *Ticket) { t.maxWait = d } }
 
-// NewTicket returns a ticket. Work is the expected time on the upstream; past
-// startBy it is no longer worth starting.
+// NewTicket returns a ticket. Work is the expected time on the upstream; the
+// request is not started after startBy.
 func NewTicket(id, workspace string, tier int, deadline, startBy time.Time, work time.Duration, options ...TicketOption) *Ticket {
 	t := &Ticket{id: id, workspace: workspace, tier: tier, deadline: deadline, startBy: startBy, work: work}
 	for _, option := range options {
@@ -62,7 +64,7 @@
 	return t
 }
 
-// ID returns the request's id.
+// ID returns the request ID.
 func (t *Ticket) ID() string { return t.id }
 
 // Workspace returns the workspace that sent the request.
@@ -71,45 +73,46 @@
 // Tier returns the request's tier, 0 being the highest.
 func (t *Ticket) Tier() int { return t.tier }
 
-// Deadline returns until when the answer is in time.
+// Deadline returns when the answer must be finished.
 func (t *Ticket) Deadline() time.Time { return t.deadline }
 
 // Work returns the expected time on the upstream.
 func (t *Ticket) Work() time.Duration { return t.work }
 
-// IsSuspect tells whether the request runs alone.
+// IsSuspect reports whether the request is suspect and must run alone.
 func (t *Ticket) IsSuspect() bool { return t.suspect }
 
-// Verdict is what becomes of a ticket.
+// Verdict is a decision on a ticket.
 type Verdict int
 
 // The verdicts.
 const (
-	// Started: dispatch it now.
+	// Started means that the request is to be dispatched now.
 	Started Verdict = iota + 1
-	// Declined: it was not dispatched and will not be.
+	// Declined means that the request has not been and will not be dispatched.
 	Declined
-	// Preempted: cancel its run; it stays in the running set until Finish.
+	// Preempted means that the run is to be canceled; it counts as running until
+	// Finish.
 	Preempted
 )
 
-// Effect is one thing to do, in order.
+// Effect is a verdict that the caller must carry out, in the order returned.
 type Effect struct {
 	id      string
 	verdict Verdict
 	reason  wire.Decline_Reason
 }
 
-// ID returns the ticket concerned.
+// ID returns the ID of the ticket.
 func (e Effect) ID() string { return e.id }
 
-// Verdict returns what becomes of it.
+// Verdict returns the verdict on the ticket.
 func (e Effect) Verdict() Verdict { return e.verdict }
 
-// Reason returns why it was declined.
+// Reason returns why the ticket was declined.
 func (e Effect) Reason() wire.Decline_Reason { return e.reason }
 
-// Controller is the state of one upstream's admission. It is not safe for
+// Controller is the admission controller of one upstream. It is not safe for
 // concurrent use.
 type Controller struct {
 	limit      int
@@ -121,13 +124,13 @@
 	invariants *invariant.Recorder
 }
 
-// New returns a controller for an upstream with a number of tiers, a limit of
-// running requests and a bound on waiting ones.
+// New returns a controller with the given number of tiers, limit of running
+// requests and limit of waiting requests.
 func New(tiers, limit, maxWaiting int, invariants *invariant.Recorder) *Controller {
 	return &Controller{
 		limit:      limit,
 		maxWaiting: maxWaiting,
-		waiting:    queue.New[*Ticket](tiers, fairQuantum),
+		waiting:    queue.New[*Ticket](tiers, fairnessQuantum),
 		running:    make(map[string]*Ticket),
 		invariants: invariants,
 	}
@@ -140,18 +143,20 @@
 func (c *Controller) Waiting() int { return c.waiting.Len() }
 
 // WaitingTier returns the number waiting in one tier.
-func (c *Controller) WaitingTier(tier int) int { return c.waiting.LenTier(tier) }
+func (c *Controller) WaitingTier(tier int) int { return c.waiting.TierLen(tier) }
 
-// Limit returns how many may run.
+// Limit returns the limit of running requests.
 func (c *Controller) Limit() int { return c.limit }
 
-// Leaving tells whether no offer is taken any more.
+// Leaving reports whether Leave was called.
 func (c *Controller) Leaving() bool { return c.leaving }
 
-// Blocked returns why no offer is taken for now, or REASON_UNSPECIFIED.
+// Blocked returns the reason passed to Block, or REASON_UNSPECIFIED if the
+// controller is not blocked.
 func (c *Controller) Blocked() wire.Decline_Reason { return c.blocked }
 
-// Offer decides on a new ticket. When neither started nor declined it waits.
+// Offer decides on a new ticket. A ticket that is neither started nor declined
+// waits.
 func (c *Controller) Offer(now time.Time, t *Ticket) []Effect {
 	switch {
 	case c.leaving:
@@ -161,61 +166,61 @@
 	case now.Add(t.work).After(t.deadline):
 		return decline(t, wire.Decline_REASON_TOO_LATE)
 	}
-	if t.patience > 0 && c.Wait(now, t.tier) > t.patience {
+	if t.maxWait > 0 && c.Wait(now, t.tier) > t.maxWait {
 		return decline(t, wire.Decline_REASON_PATIENCE)
 	}
-	effects, fits := c.makeRoom(now, t)
+	effects, fits := c.ensureCapacity(now, t)
 	if !fits {
 		return effects
 	}
-	t.arrivedAt = now
+	t.enqueuedAt = now
 	c.waiting.Push(t)
 	return append(effects, c.start(now)...)
 }
 
-// makeRoom sees to it that t can meet its deadline and has a place, at the
-// cost of lower tiers only. When it cannot, t is declined, and what waits in
-// lower tiers goes with it: it stood behind t's tier anyway, and a higher
-// tier must never be shed while a lower one is kept.
-func (c *Controller) makeRoom(now time.Time, t *Ticket) ([]Effect, bool) {
+// ensureCapacity makes sure that t can meet its deadline and fits into the queue,
+// at the cost of lower tiers only. If that is not possible, t is declined together
+// with everything that waits in lower tiers: those requests are behind t's tier,
+// and a higher tier must never be shed while a lower one is kept.
+func (c *Controller) ensureCapacity(now time.Time, t *Ticket) ([]Effect, bool) {
 	var effects []Effect
-	if c.misses(now, t) {
+	if c.missesDeadline(now, t) {
 		effects = append(effects, c.preempt(now, t)...)
 	}
-	if len(effects) == 0 && c.misses(now, t) {
+	if len(effects) == 0 && c.missesDeadline(now, t) {
 		return c.shed(t, wire.Decline_REASON_TOO_LATE), false
 	}
 	if c.waiting.Len() < c.maxWaiting {
 		return effects, true
 	}
-	victim, ok := c.waiting.TakeLowest(t.tier)
+	victim, ok := c.waiting.RemoveLowest(t.tier)
 	if !ok {
 		return append(effects, c.shed(t, wire.Decline_REASON_FULL)...), false
 	}
 	return append(effects, Effect{id: victim.id, verdict: Declined, reason: wire.Decline_REASON_DISPLACED}), true
 }
 
-func (c *Controller) misses(now time.Time, t *Ticket) bool {
+func (c *Controller) missesDeadline(now time.Time, t *Ticket) bool {
 	start := now.Add(c.Wait(now, t.tier))
 	return start.After(t.startBy) || start.Add(t.work).After(t.deadline)
 }
 
-// shed declines t and everything that waits in lower tiers.
+// shed declines t and all requests that wait in lower tiers.
 func (c *Controller) shed(t *Ticket, reason wire.Decline_Reason) []Effect {
 	var effects []Effect
 	for {
-		victim, ok := c.waiting.TakeLowest(t.tier)
+		victim, ok := c.waiting.RemoveLowest(t.tier)
 		if !ok {
 			break
 		}
 		effects = append(effects, Effect{id: victim.id, verdict: Declined, reason: wire.Decline_REASON_DISPLACED})
 	}
-	c.invariants.Check(c.waiting.LowestHeld() <= t.tier, invariant.TierOrder, t.id, "a lower tier still waits while this one is shed")
+	c.invariants.Check(c.waiting.LowestNonEmpty() <= t.tier, invariant.TierOrder, t.id, "shed while a lower tier is waiting")
 	return append(effects, decline(t, reason)...)
 }
 
-// preempt cancels the run of the lowest tier below t that has the most left
-// to do, where the rules allow the action to run again.
+// preempt cancels one repeat-safe run of a tier below t: of the lowest tier, the
+// one with the most remaining work.
 func (c *Controller) preempt(now time.Time, t *Ticket) []Effect {
 	var victim *Ticket
 	for _, r := range c.running {
@@ -233,28 +238,29 @@
 	return []Effect{{id: victim.id, verdict: Preempted}}
 }
 
-// Finish removes a run and starts what comes next.
+// Finish removes a run and starts waiting requests.
 func (c *Controller) Finish(now time.Time, id string) []Effect {
 	delete(c.running, id)
 	return c.start(now)
 }
 
-// Withdraw takes a waiting ticket out and tells whether it was waiting.
+// Withdraw removes a ticket from the queue and reports whether it was waiting.
 func (c *Controller) Withdraw(id string) bool {
 	_, ok := c.waiting.Remove(id)
 	return ok
 }
 
-// Tick declines what can no longer meet its start-by moment or deadline.
+// Tick declines requests that have exceeded their maximum wait or can no longer
+// meet their start-by time or deadline.
 func (c *Controller) Tick(now time.Time) []Effect {
-	impatient := c.waiting.RemoveIf(func(t *Ticket) bool {
-		return t.patience > 0 && now.Sub(t.arrivedAt) > t.patience
+	overdue := c.waiting.RemoveIf(func(t *Ticket) bool {
+		return t.maxWait > 0 && now.Sub(t.enqueuedAt) > t.maxWait
 	})
 	late := c.waiting.RemoveIf(func(t *Ticket) bool {
 		return now.After(t.startBy) || now.Add(t.work).After(t.deadline)
 	})
 	var effects []Effect
-	for _, t := range impatient {
+	for _, t := range overdue {
 		effects = append(effects, decline(t, wire.Decline_REASON_PATIENCE)...)
 	}
 	for _, t := range late {
@@ -263,37 +269,37 @@
 	return append(effects, c.start(now)...)
 }
 
-// SetLimit changes how many may run.
+// SetLimit changes the limit of running requests.
 func (c *Controller) SetLimit(now time.Time, limit int) []Effect {
 	c.limit = limit
 	return c.start(now)
 }
 
-// Reforecast replaces the expected work of a run, as its tokens arrive.
+// Reforecast updates the expected work of a run while its tokens arrive.
 func (c *Controller) Reforecast(id string, work time.Duration) {
 	if t := c.running[id]; t != nil {
 		t.work = work
 	}
 }
 
-// Leave takes no offers from now on and hands back all that waits.
+// Leave declines all waiting requests and all further offers.
 func (c *Controller) Leave() []Effect {
 	c.leaving = true
-	return c.handBack(wire.Decline_REASON_LEAVING)
+	return c.declineWaiting(wire.Decline_REASON_LEAVING)
 }
 
-// Block takes no offers until Unblock and hands back all that waits, so that
-// it can go to another upstream. It is for an upstream that is down and for a
-// version that its own evidence stopped.
+// Block declines all waiting requests, so that they can go to another upstream,
+// and all offers until Unblock. It is used when the upstream is down, and when a
+// version is stopped because of its own error evidence.
 func (c *Controller) Block(reason wire.Decline_Reason) []Effect {
 	c.blocked = reason
-	return c.handBack(reason)
+	return c.declineWaiting(reason)
 }
 
-// Unblock takes offers again.
+// Unblock accepts offers again.
 func (c *Controller) Unblock() { c.blocked = wire.Decline_REASON_UNSPECIFIED }
 
-func (c *Controller) handBack(reason wire.Decline_Reason) []Effect {
+func (c *Controller) declineWaiting(reason wire.Decline_Reason) []Effect {
 	var effects []Effect
 	for _, t := range c.waiting.RemoveIf(func(*Ticket) bool { return true }) {
 		effects = append(effects, decline(t, reason)...)
@@ -301,7 +307,8 @@
 	return effects
 }
 
-// Wait projects how long a request of the tier would wait to be started.
+// Wait returns the projected time until a new request of the tier would be
+// started.
 func (c *Controller) Wait(now time.Time, tier int) time.Duration {
 	queued := c.waiting.WorkUpTo(tier)
 	if len(c.running) < c.limit && queued == 0 {
@@ -316,15 +323,15 @@
 
 func (c *Controller) remaining(now time.Time, t *Ticket) time.Duration {
 	left := t.work - now.Sub(t.startedAt)
-	return max(left, time.Duration(remainingFloor*float64(t.work)))
+	return max(left, time.Duration(minRemainingShare*float64(t.work)))
 }
 
-// start dispatches from the head of the queue while there is room. A suspect
-// runs alone: when an upstream dies, everything it ran becomes suspect, and
-// only a request that ran alone is convicted beyond doubt.
+// start starts waiting requests up to the limit. A suspect runs alone: when an
+// upstream crashes, everything it was running becomes suspect, and only a request
+// that ran alone is certain to have caused the crash.
 func (c *Controller) start(now time.Time) []Effect {
 	var effects []Effect
-	for len(c.running) < c.limit && !c.suspectRuns() {
+	for len(c.running) < c.limit && !c.suspectRunning() {
 		next, ok := c.next(now)
 		if !ok || next.suspect && len(c.running) > 0 {
 			break
@@ -332,25 +339,26 @@
 		c.waiting.Serve(next)
 		next.startedAt = now
 		c.running[next.id] = next
-		c.invariants.Check(!c.leaving, invariant.NoOfferAfterLeave, next.id, "dispatched after leaving")
+		c.invariants.Check(!c.leaving, invariant.NoOfferAfterLeave, next.id, "dispatched after Leave")
 		effects = append(effects, Effect{id: next.id, verdict: Started})
 	}
 	return effects
 }
 
-// next returns what starts next: a suspect that has been patient long enough,
-// for which the upstream is left to empty, or the head of the queue.
+// next returns the request to start next: a suspect that has waited longer than
+// maxSuspectWait, for which the upstream must become idle, or the head of the
+// queue.
 func (c *Controller) next(now time.Time) (*Ticket, bool) {
-	patient, ok := c.waiting.Find(func(t *Ticket) bool {
-		return t.suspect && now.Sub(t.arrivedAt) > suspectPatience
+	waited, ok := c.waiting.Find(func(t *Ticket) bool {
+		return t.suspect && now.Sub(t.enqueuedAt) > maxSuspectWait
 	})
 	if ok {
-		return patient, true
+		return waited, true
 	}
 	return c.waiting.Peek()
 }
 
-func (c *Controller) suspectRuns() bool {
+func (c *Controller) suspectRunning() bool {
 	for _, t := range c.running {
 		if t.suspect {
 			return true
--- a/internal/upstream/admission/admission_test.go
+++ b/internal/upstream/admission/admission_test.go
@@ -37,21 +37,19 @@
 	return out
 }
 
-// A class-hour critique arrives while the engine is full of lesson tags, and
-// the student waits at the easel.
-// The tags may run again, so the one with most left to do makes room.
-func TestHigherTierPreemptsRepeatableWork(t *testing.T) {
+// A critique arrives while the engine is full of lesson tags, which are safe to
+// run again. The tag with the most remaining work must be preempted.
+func TestHigherTierPreemptsRepeatSafeRun(t *testing.T) {
 	c := admission.New(3, 1, 10, recorder(t))
 	require.Equal(t, []string{"tag started"}, verdicts(c.Offer(start, ticket("tag", 2, time.Minute, 10*time.Second, admission.RepeatSafe()))))
 	require.Equal(t, []string{"tag preempted"}, verdicts(c.Offer(start, ticket("critique", 0, 5*time.Second, 2*time.Second))))
 	require.Equal(t, []string{"critique started"}, verdicts(c.Finish(start, "tag")))
 }
 
-// Under overload the top tier was refused while a lesson tag that had come
-// earlier kept its place.
-// The queue is full; the tag, the lowest held, gives way and may truly say that
-// it did not run.
-func TestFullQueueDisplacesTheLowest(t *testing.T) {
+// Guards against refusing the top tier under overload while an earlier request of
+// a lower tier keeps its place: in a full queue the lowest tier is displaced, and
+// it is declined without having run.
+func TestFullQueueDisplacesLowestTier(t *testing.T) {
 	c := admission.New(3, 1, 1, recorder(t))
 	c.Offer(start, ticket("running", 0, time.Minute, time.Second))
 	c.Offer(start, ticket("tag", 2, time.Minute, time.Second))
@@ -60,18 +58,18 @@
 	require.Equal(t, wire.Decline_REASON_DISPLACED, effects[0].Reason())
 }
 
-// A version that brakes itself held its waiting students until their deadline.
-// Blocked or leaving, an agent hands everything back at once.
-func TestBlockAndLeaveHandBackAllThatWaits(t *testing.T) {
+// Guards against requests that wait until their deadline at an agent whose version
+// is stopped: a blocked or leaving controller declines all of them at once.
+func TestBlockAndLeaveDeclineAllWaiting(t *testing.T) {
 	for _, leave := range []bool{false, true} {
 		c := admission.New(3, 1, 10, recorder(t))
 		c.Offer(start, ticket("running", 0, time.Minute, time.Second))
 		c.Offer(start, ticket("waiting", 0, time.Minute, time.Second))
-		handBack, reason := func() []admission.Effect { return c.Block(wire.Decline_REASON_BRAKED) }, wire.Decline_REASON_BRAKED
+		stop, reason := func() []admission.Effect { return c.Block(wire.Decline_REASON_BRAKED) }, wire.Decline_REASON_BRAKED
 		if leave {
-			handBack, reason = c.Leave, wire.Decline_REASON_LEAVING
+			stop, reason = c.Leave, wire.Decline_REASON_LEAVING
 		}
-		effects := handBack()
+		effects := stop()
 		require.Equal(t, []string{"waiting declined"}, verdicts(effects))
 		require.Equal(t, reason, effects[0].Reason())
 		late := c.Offer(start, ticket("late", 0, time.Minute, time.Second))
@@ -80,8 +78,9 @@
 	}
 }
 
-// An innocent request that ran beside a crashing one was convicted with it.
-// A suspect starts only on an empty upstream, and nothing starts beside it.
+// Guards against convicting a request that ran beside the one that crashed the
+// upstream: a suspect starts only on an idle upstream, and nothing starts beside
+// it.
 func TestSuspectRunsAlone(t *testing.T) {
 	c := admission.New(3, 4, 10, recorder(t))
 	c.Offer(start, ticket("other", 0, time.Minute, time.Second))
@@ -91,10 +90,10 @@
 	require.Equal(t, []string{"third started"}, verdicts(c.Finish(start, "suspect")))
 }
 
-// Whatever the order of events: never more runs than the limit, exactly one of
-// started and declined for each ticket, nothing dispatched after leaving, and
-// no higher tier declined as full or late while a lower one waits.
-func TestAdmissionHoldsUnderAnyOperations(t *testing.T) {
+// For any order of operations: never more runs than the limit, each ticket either
+// started or declined exactly once, nothing dispatched after Leave, and no higher
+// tier shed while a lower one waits.
+func TestAdmissionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 4).Draw(t, "limit")
 		c := admission.New(3, limit, 6, recorder(t))
@@ -103,7 +102,7 @@
 		tiers := make(map[string]int)
 		running := make(map[string]bool)
 		waiting := make(map[string]bool)
-		settle := func(effects []admission.Effect) {
+		apply := func(effects []admission.Effect) {
 			for _, e := range effects {
 				if e.Verdict() == admission.Preempted {
 					require.True(t, running[e.ID()])
@@ -138,24 +137,24 @@
 					options = append(options, admission.Suspect())
 				}
 				waiting[id] = true
-				settle(c.Offer(now, admission.NewTicket(id, "w", tiers[id], deadline, deadline.Add(-work), work, options...)))
+				apply(c.Offer(now, admission.NewTicket(id, "w", tiers[id], deadline, deadline.Add(-work), work, options...)))
 			},
 			"finish": func(*rapid.T) {
 				for id := range running {
 					delete(running, id)
-					settle(c.Finish(now, id))
+					apply(c.Finish(now, id))
 					return
 				}
 			},
 			"tick": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
-				settle(c.Tick(now))
+				apply(c.Tick(now))
 			},
-			"block":   func(*rapid.T) { settle(c.Block(wire.Decline_REASON_UNREACHABLE)) },
+			"block":   func(*rapid.T) { apply(c.Block(wire.Decline_REASON_UNREACHABLE)) },
 			"unblock": func(*rapid.T) { c.Unblock() },
 			"leave": func(t *rapid.T) {
 				if rapid.IntRange(0, 20).Draw(t, "really") == 0 {
-					settle(c.Leave())
+					apply(c.Leave())
 				}
 			},
 			"": func(t *rapid.T) {
--- a/internal/upstream/queue/queue.go
+++ b/internal/upstream/queue/queue.go
@@ -1,6 +1,6 @@
-// Package queue orders the requests that wait at one upstream: strict tiers,
-// and inside a tier the earliest deadline among the workspaces that have not
-// had more than their fair share.
+// Package queue orders the requests that wait at one upstream: by strict tier
+// priority, and within a tier by earliest deadline among the workspaces that have
+// not exceeded their fair share.
 package queue
 
 import (
@@ -8,30 +8,31 @@
 	"time"
 )
 
-// Item is what the queue needs to know of a waiting request.
+// Item is a waiting request.
 type Item interface {
 	ID() string
 	Workspace() string
-	// Tier is 0 for the highest.
+	// Tier returns the tier; 0 is the highest.
 	Tier() int
 	Deadline() time.Time
-	// Work is the expected time on the upstream.
+	// Work returns the expected time on the upstream.
 	Work() time.Duration
 }
 
-// Queue holds items of one upstream. It is not safe for concurrent use.
+// Queue holds the items waiting at one upstream. It is not safe for concurrent
+// use.
 type Queue[T Item] struct {
 	quantum time.Duration
 	tiers   []*tier[T]
 	length  int
 }
 
-// New returns an empty queue. A workspace may be ahead of the least served
-// workspace of its tier by quantum of work before others are preferred.
+// New returns an empty queue. A workspace may be served up to quantum more work
+// than the least served workspace of its tier before others are preferred.
 func New[T Item](tiers int, quantum time.Duration) *Queue[T] {
 	q := &Queue[T]{quantum: quantum}
 	for range max(tiers, 1) {
-		q.tiers = append(q.tiers, &tier[T]{lanes: make(map[string]*lane[T])})
+		q.tiers = append(q.tiers, &tier[T]{workspaces: make(map[string]*workspaceQueue[T])})
 	}
 	return q
 }
@@ -39,14 +40,15 @@
 // Len returns the number of waiting items.
 func (q *Queue[T]) Len() int { return q.length }
 
-// LenTier returns the number waiting in one tier.
-func (q *Queue[T]) LenTier(index int) int { return q.tiers[q.clamp(index)].length }
+// TierLen returns the number of items waiting in one tier.
+func (q *Queue[T]) TierLen(index int) int { return q.tiers[q.clamp(index)].length }
 
 // Tiers returns the number of tiers.
 func (q *Queue[T]) Tiers() int { return len(q.tiers) }
 
-// LowestHeld returns the lowest tier in which something waits, or -1.
-func (q *Queue[T]) LowestHeld() int {
+// LowestNonEmpty returns the index of the lowest non-empty tier, or -1 if the queue
+// is empty.
+func (q *Queue[T]) LowestNonEmpty() int {
 	for index := len(q.tiers) - 1; index >= 0; index-- {
 		if q.tiers[index].length > 0 {
 			return index
@@ -55,7 +57,7 @@
 	return -1
 }
 
-// WorkUpTo returns the expected work of all that waits in tiers 0 to index.
+// WorkUpTo returns the expected work of all items waiting in tiers 0 to index.
 func (q *Queue[T]) WorkUpTo(index int) time.Duration {
 	var total time.Duration
 	for _, t := range q.tiers[:q.clamp(index)+1] {
@@ -70,11 +72,11 @@
 	q.length++
 }
 
-// Peek returns the item that Pop would take.
+// Peek returns the item that Pop would remove.
 func (q *Queue[T]) Peek() (T, bool) {
 	for _, t := range q.tiers {
-		if l := t.choose(q.quantum); l != nil {
-			return l.items[0], true
+		if w := t.nextWorkspace(q.quantum); w != nil {
+			return w.items[0], true
 		}
 	}
 	var none T
@@ -91,34 +93,33 @@
 	return item, ok
 }
 
-// Serve removes an item that is served now and charges its workspace with its
-// work.
+// Serve removes an item and charges its workspace with its work.
 func (q *Queue[T]) Serve(item T) {
 	t := q.tiers[q.clamp(item.Tier())]
-	l := t.lanes[item.Workspace()]
-	if l == nil {
+	w := t.workspaces[item.Workspace()]
+	if w == nil {
 		return
 	}
-	for at, known := range l.items {
-		if known.ID() == item.ID() {
-			heap.Remove(l, at)
-			t.removed(item)
-			t.serve(l, item.Work())
+	for index, queued := range w.items {
+		if queued.ID() == item.ID() {
+			heap.Remove(w, index)
+			t.recordRemoval(item)
+			t.charge(w, item.Work())
 			q.length--
 			return
 		}
 	}
 }
 
-// Find returns the first item, from the highest tier on, for which want is
-// true; inside a tier the one with the earliest deadline.
-func (q *Queue[T]) Find(want func(T) bool) (T, bool) {
+// Find returns the item of the highest tier for which match is true; within a tier,
+// the one with the earliest deadline.
+func (q *Queue[T]) Find(match func(T) bool) (T, bool) {
 	var best T
 	for _, t := range q.tiers {
 		found := false
-		for _, l := range t.lanes {
-			for _, item := range l.items {
-				if want(item) && (!found || later(best, item)) {
+		for _, w := range t.workspaces {
+			for _, item := range w.items {
+				if match(item) && (!found || laterDeadline(best, item)) {
 					best, found = item, true
 				}
 			}
@@ -130,45 +131,46 @@
 	return best, false
 }
 
-// TakeLowest removes the item that is given up first: of the lowest held tier
-// below above, the one with the latest deadline.
-func (q *Queue[T]) TakeLowest(above int) (T, bool) {
-	for index := len(q.tiers) - 1; index > above; index-- {
+// RemoveLowest removes the item with the latest deadline from the lowest non-empty
+// tier, if that tier is lower than the given one.
+func (q *Queue[T]) RemoveLowest(tier int) (T, bool) {
+	for index := len(q.tiers) - 1; index > tier; index-- {
 		t := q.tiers[index]
 		if t.length == 0 {
 			continue
 		}
-		return q.takeLatest(t), true
+		return q.removeLatest(t), true
 	}
 	var none T
 	return none, false
 }
 
-func (q *Queue[T]) takeLatest(t *tier[T]) T {
-	var from *lane[T]
-	at := 0
-	for _, l := range t.lanes {
-		for index, item := range l.items {
-			if from == nil || later(item, from.items[at]) {
-				from, at = l, index
+func (q *Queue[T]) removeLatest(t *tier[T]) T {
+	var owner *workspaceQueue[T]
+	latest := 0
+	for _, w := range t.workspaces {
+		for index, item := range w.items {
+			if owner == nil || laterDeadline(item, owner.items[latest]) {
+				owner, latest = w, index
 			}
 		}
 	}
-	item := heap.Remove(from, at).(T)
-	t.removed(item)
+	item := heap.Remove(owner, latest).(T)
+	t.recordRemoval(item)
 	q.length--
 	return item
 }
 
-// later breaks ties by id, so that the choice does not depend on map order.
-func later[T Item](a, b T) bool {
+// laterDeadline reports whether a has a later deadline than b. Ties are resolved by
+// ID, so that the order does not depend on map iteration.
+func laterDeadline[T Item](a, b T) bool {
 	if a.Deadline().Equal(b.Deadline()) {
 		return a.ID() > b.ID()
 	}
 	return a.Deadline().After(b.Deadline())
 }
 
-// Remove takes out the item with the id.
+// Remove removes the item with the id.
 func (q *Queue[T]) Remove(id string) (T, bool) {
 	found := q.RemoveIf(func(item T) bool { return item.ID() == id })
 	if len(found) == 0 {
@@ -178,120 +180,122 @@
 	return found[0], true
 }
 
-// RemoveIf takes out every item for which drop is true.
-func (q *Queue[T]) RemoveIf(drop func(T) bool) []T {
-	var dropped []T
+// RemoveIf removes and returns all items for which match is true.
+func (q *Queue[T]) RemoveIf(match func(T) bool) []T {
+	var removed []T
 	for _, t := range q.tiers {
-		for _, l := range t.lanes {
-			for index := 0; index < len(l.items); {
-				if !drop(l.items[index]) {
+		for _, w := range t.workspaces {
+			for index := 0; index < len(w.items); {
+				if !match(w.items[index]) {
 					index++
 					continue
 				}
-				item := heap.Remove(l, index).(T)
-				t.removed(item)
+				item := heap.Remove(w, index).(T)
+				t.recordRemoval(item)
 				q.length--
-				dropped = append(dropped, item)
+				removed = append(removed, item)
 				index = 0
 			}
 		}
 	}
-	return dropped
+	return removed
 }
 
 func (q *Queue[T]) clamp(index int) int {
 	return min(max(index, 0), len(q.tiers)-1)
 }
 
-// tier is the waiting work of one tier, a lane for each workspace.
+// tier holds the items of one tier, with a queue for each workspace.
 type tier[T Item] struct {
-	lanes  map[string]*lane[T]
-	length int
-	work   time.Duration
-	// floor is the virtual time below which no returning workspace may start,
-	// so that a workspace cannot save up service while it is idle.
-	floor time.Duration
+	workspaces map[string]*workspaceQueue[T]
+	length     int
+	work       time.Duration
+	// virtualTime is the served work at which a returning workspace starts, so that
+	// a workspace cannot accumulate unused service while it is idle.
+	virtualTime time.Duration
 }
 
 func (t *tier[T]) push(item T) {
-	l := t.lanes[item.Workspace()]
-	if l == nil {
-		l = &lane[T]{served: t.floor}
-		t.lanes[item.Workspace()] = l
+	w := t.workspaces[item.Workspace()]
+	if w == nil {
+		w = &workspaceQueue[T]{served: t.virtualTime}
+		t.workspaces[item.Workspace()] = w
 	}
-	heap.Push(l, item)
+	heap.Push(w, item)
 	t.length++
 	t.work += item.Work()
 }
 
-func (t *tier[T]) removed(item T) {
+func (t *tier[T]) recordRemoval(item T) {
 	t.length--
 	t.work -= item.Work()
 }
 
-// serve charges the lane, raises the floor, and forgets idle lanes that the
-// floor has overtaken; this bounds the lanes kept.
-func (t *tier[T]) serve(l *lane[T], work time.Duration) {
-	l.served += work
+// charge adds work to the workspace's served work, advances the virtual time, and
+// removes empty workspaces that the virtual time has reached, which bounds the
+// number of workspaces.
+func (t *tier[T]) charge(w *workspaceQueue[T], work time.Duration) {
+	w.served += work
 	lowest := time.Duration(-1)
-	for _, other := range t.lanes {
+	for _, other := range t.workspaces {
 		if len(other.items) > 0 && (lowest < 0 || other.served < lowest) {
 			lowest = other.served
 		}
 	}
-	if lowest > t.floor {
-		t.floor = lowest
+	if lowest > t.virtualTime {
+		t.virtualTime = lowest
 	}
-	for name, other := range t.lanes {
-		if len(other.items) == 0 && (other.served <= t.floor || t.length == 0) {
-			delete(t.lanes, name)
+	for name, other := range t.workspaces {
+		if len(other.items) == 0 && (other.served <= t.virtualTime || t.length == 0) {
+			delete(t.workspaces, name)
 		}
 	}
 }
 
-// choose returns the lane to serve next: the earliest deadline among the
-// lanes within quantum of the least served one.
-func (t *tier[T]) choose(quantum time.Duration) *lane[T] {
+// nextWorkspace returns the workspace to serve next: the one with the earliest
+// deadline among those within quantum of the least served one.
+func (t *tier[T]) nextWorkspace(quantum time.Duration) *workspaceQueue[T] {
 	least := time.Duration(-1)
-	for _, l := range t.lanes {
-		if len(l.items) > 0 && (least < 0 || l.served < least) {
-			least = l.served
+	for _, w := range t.workspaces {
+		if len(w.items) > 0 && (least < 0 || w.served < least) {
+			least = w.served
 		}
 	}
-	var best *lane[T]
-	for _, l := range t.lanes {
-		if len(l.items) == 0 || l.served > least+quantum {
+	var best *workspaceQueue[T]
+	for _, w := range t.workspaces {
+		if len(w.items) == 0 || w.served > least+quantum {
 			continue
 		}
-		if best == nil || later(best.items[0], l.items[0]) {
-			best = l
+		if best == nil || laterDeadline(best.items[0], w.items[0]) {
+			best = w
 		}
 	}
 	return best
 }
 
-// lane is the waiting work of one workspace, a heap by deadline.
-type lane[T Item] struct {
+// workspaceQueue holds the items of one workspace, as a heap by deadline. served
+// is the work that the workspace has been charged with.
+type workspaceQueue[T Item] struct {
 	items  []T
 	served time.Duration
 }
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
-func (l *lane[T]) Len() int           { return len(l.items) }
-func (l *lane[T]) Less(i, j int) bool { return later(l.items[j], l.items[i]) }
-func (l *lane[T]) Swap(i, j int)      { l.items[i], l.items[j] = l.items[j], l.items[i] }
+func (w *workspaceQueue[T]) Len() int           { return len(w.items) }
+func (w *workspaceQueue[T]) Less(i, j int) bool { return laterDeadline(w.items[j], w.items[i]) }
+func (w *workspaceQueue[T]) Swap(i, j int)      { w.items[i], w.items[j] = w.items[j], w.items[i] }
 
-// Push adds an item; callers use heap.Push.
-func (l *lane[T]) Push(item any) {
-	l.items = append(l.items, item.(T))
+// Push appends an item; it is called by heap.Push only.
+func (w *workspaceQueue[T]) Push(item any) {
+	w.items = append(w.items, item.(T))
 }
 
-// Pop removes the last item; callers use heap.Pop.
-func (l *lane[T]) Pop() any {
-	last := len(l.items) - 1
-	item := l.items[last]
+// Pop removes the last item; it is called by the heap package only.
+func (w *workspaceQueue[T]) Pop() any {
+	last := len(w.items) - 1
+	item := w.items[last]
 	var none T
-	l.items[last] = none
-	l.items = l.items[:last]
+	w.items[last] = none
+	w.items = w.items[:last]
 	return item
 }
--- a/internal/upstream/queue/queue_test.go
+++ b/internal/upstream/queue/queue_test.go
@@ -27,10 +27,10 @@
 
 var start = time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC)
 
-// A large workspace fills the queue, and four small ones wait behind it for
-// the whole evening.
-// Deadlines favor the large one; the quantum limits how far it may run ahead.
-func TestLargeWorkspaceCannotStarveSmallOnes(t *testing.T) {
+// Guards against a large workspace that fills the queue and delays small ones
+// indefinitely. Deadlines favor the large one; the quantum limits how much more
+// work than the others it is served.
+func TestLargeWorkspaceDoesNotStarveSmallOnes(t *testing.T) {
 	q := queue.New[item](1, 2*time.Second)
 	for i := range 100 {
 		q.Push(item{id: fmt.Sprint("large-", i), workspace: "large", deadline: start, work: time.Second})
@@ -49,12 +49,13 @@
 	}
 }
 
-// Pop must always take the highest tier held, TakeLowest never one at or above
-// the bound, and nothing may be lost or doubled.
-func TestOrderHoldsUnderAnyOperations(t *testing.T) {
+// For any order of operations: Pop removes an item of the highest non-empty tier,
+// RemoveLowest none of the given tier or a higher one, and no item is lost or
+// duplicated.
+func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := queue.New[item](3, time.Second)
-		held := make(map[string]item)
+		queued := make(map[string]item)
 		next := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
@@ -65,39 +66,39 @@
 					work: time.Duration(rapid.IntRange(1, 5000).Draw(t, "work")) * time.Millisecond,
 				}
 				q.Push(i)
-				held[i.id] = i
+				queued[i.id] = i
 			},
 			"pop": func(t *rapid.T) {
 				got, ok := q.Pop()
-				require.Equal(t, len(held) > 0, ok)
-				for _, other := range held {
+				require.Equal(t, len(queued) > 0, ok)
+				for _, other := range queued {
 					require.LessOrEqual(t, got.tier, other.tier)
 				}
-				delete(held, got.id)
+				delete(queued, got.id)
 			},
 			"take-lowest": func(t *rapid.T) {
 				above := rapid.IntRange(-1, 2).Draw(t, "above")
-				got, ok := q.TakeLowest(above)
-				for _, other := range held {
+				got, ok := q.RemoveLowest(above)
+				for _, other := range queued {
 					require.True(t, other.tier <= above || ok)
 					require.True(t, !ok || got.tier >= other.tier)
 				}
 				if ok {
 					require.Greater(t, got.tier, above)
-					delete(held, got.id)
+					delete(queued, got.id)
 				}
 			},
 			"remove": func(t *rapid.T) {
 				id := fmt.Sprint(rapid.IntRange(1, max(next, 1)).Draw(t, "id"))
 				_, ok := q.Remove(id)
-				_, want := held[id]
+				_, want := queued[id]
 				require.Equal(t, want, ok)
-				delete(held, id)
+				delete(queued, id)
 			},
 			"": func(t *rapid.T) {
-				require.Equal(t, len(held), q.Len())
+				require.Equal(t, len(queued), q.Len())
 				var work time.Duration
-				for _, i := range held {
+				for _, i := range queued {
 					work += i.work
 				}
 				require.Equal(t, work, q.WorkUpTo(2))
