--- a/internal/upstream/limit/limit.go
+++ b/internal/upstream/limit/limit.go
@@ -1,104 +1,105 @@
-// Package limit finds how many requests an upstream may run at once. Engines
-// admit whatever comes; past some batch size, tokens come too slowly for
-// everyone. The limit is found from measured gaps and first tokens, not set.
+// Package limit adapts the number of requests that an upstream may run at once.
+// Engines admit any number of requests, and beyond some batch size tokens come too
+// slowly for all of them. The limit is not configured but derived from measured
+// token gaps and times to first token.
 package limit
 
 import "time"
 
-// Targets are what a running request should see.
+// Targets are the latency targets of running requests.
 type Targets struct {
 	tokenGap   time.Duration
 	firstToken time.Duration
 }
 
 // NewTargets returns targets for the gap between tokens and for the time from
-// the dispatch to the first token.
+// dispatch to the first token.
 func NewTargets(tokenGap, firstToken time.Duration) Targets {
 	return Targets{tokenGap: tokenGap, firstToken: firstToken}
 }
 
 const (
-	// window is how often the limit may change.
-	window = 500 * time.Millisecond
-	// decrease is the factor on a missed target.
-	decrease = 0.85
-	// headroom is the share of a target below which the limit may grow.
-	headroom = 0.8
-	// smoothing is the weight of a new sample in the moving means.
+	// adjustInterval is the minimum time between adjustments of the limit.
+	adjustInterval = 500 * time.Millisecond
+	// decreaseFactor is applied to the limit when a target is missed.
+	decreaseFactor = 0.85
+	// growthThreshold is the share of the targets below which the limit may grow.
+	growthThreshold = 0.8
+	// smoothing is the weight of a new sample in the exponential moving averages.
 	smoothing = 0.1
 )
 
-// Limit adapts one upstream's limit: additive growth while the limit binds
-// and targets are met, multiplicative decrease when a target is missed. It is
-// not safe for concurrent use.
+// Limit is the adaptive limit of one upstream (AIMD): it increases additively
+// while requests wait because of it and the targets are met, and decreases
+// multiplicatively when a target is missed. It is not safe for concurrent use.
 type Limit struct {
 	targets Targets
-	lowest  int
-	highest int
+	minimum int
+	maximum int
 	current float64
 
-	gap        time.Duration
-	first      time.Duration
-	saturated  bool
-	lastChange time.Time
+	meanTokenGap   time.Duration
+	meanFirstToken time.Duration
+	saturated      bool
+	lastAdjustment time.Time
 }
 
-// New returns a limit that starts at start and stays within lowest and
-// highest.
-func New(targets Targets, start, lowest, highest int) *Limit {
-	return &Limit{targets: targets, lowest: lowest, highest: highest, current: float64(min(max(start, lowest), highest))}
+// New returns a limit that starts at start and stays between minimum and maximum.
+func New(targets Targets, start, minimum, maximum int) *Limit {
+	return &Limit{targets: targets, minimum: minimum, maximum: maximum, current: float64(min(max(start, minimum), maximum))}
 }
 
-// Current returns how many requests may run.
+// Current returns the current limit of running requests.
 func (l *Limit) Current() int { return int(l.current) }
 
-// TokenGap returns the moving mean of the gap between tokens, 0 if unknown.
-func (l *Limit) TokenGap() time.Duration { return l.gap }
+// TokenGap returns the moving average of the gap between tokens, or 0 if unknown.
+func (l *Limit) TokenGap() time.Duration { return l.meanTokenGap }
 
-// FirstToken returns the moving mean of the time to first token, 0 if unknown.
-func (l *Limit) FirstToken() time.Duration { return l.first }
+// FirstToken returns the moving average of the time to first token, or 0 if
+// unknown.
+func (l *Limit) FirstToken() time.Duration { return l.meanFirstToken }
 
-// ObserveGap takes one measured gap between tokens.
+// ObserveGap records a measured gap between tokens.
 func (l *Limit) ObserveGap(now time.Time, gap time.Duration) {
-	l.gap = blend(l.gap, gap)
+	l.meanTokenGap = movingMean(l.meanTokenGap, gap)
 	l.adapt(now)
 }
 
-// ObserveFirst takes one measured time from dispatch to first token.
+// ObserveFirst records a measured time from dispatch to first token.
 func (l *Limit) ObserveFirst(now time.Time, first time.Duration) {
-	l.first = blend(l.first, first)
+	l.meanFirstToken = movingMean(l.meanFirstToken, first)
 	l.adapt(now)
 }
 
-// Saturated notes that a request had to wait because of the limit; only then
-// is growth of use.
+// Saturated records that a request had to wait because of the limit. The limit
+// grows only after that.
 func (l *Limit) Saturated() { l.saturated = true }
 
 func (l *Limit) adapt(now time.Time) {
-	if l.lastChange.IsZero() {
-		l.lastChange = now
+	if l.lastAdjustment.IsZero() {
+		l.lastAdjustment = now
 		return
 	}
-	if now.Sub(l.lastChange) < window {
+	if now.Sub(l.lastAdjustment) < adjustInterval {
 		return
 	}
 	switch {
-	case l.gap > l.targets.tokenGap || l.first > l.targets.firstToken:
-		l.current = max(float64(l.lowest), l.current*decrease)
-	case l.saturated && l.below():
-		l.current = min(float64(l.highest), l.current+1)
+	case l.meanTokenGap > l.targets.tokenGap || l.meanFirstToken > l.targets.firstToken:
+		l.current = max(float64(l.minimum), l.current*decreaseFactor)
+	case l.saturated && l.hasHeadroom():
+		l.current = min(float64(l.maximum), l.current+1)
 	}
-	l.lastChange = now
+	l.lastAdjustment = now
 	l.saturated = false
 }
 
-func (l *Limit) below() bool {
-	gapGood := float64(l.gap) < headroom*float64(l.targets.tokenGap)
-	firstGood := float64(l.first) < headroom*float64(l.targets.firstToken)
-	return gapGood && firstGood
+func (l *Limit) hasHeadroom() bool {
+	gapBelow := float64(l.meanTokenGap) < growthThreshold*float64(l.targets.tokenGap)
+	firstBelow := float64(l.meanFirstToken) < growthThreshold*float64(l.targets.firstToken)
+	return gapBelow && firstBelow
 }
 
-func blend(mean, sample time.Duration) time.Duration {
+func movingMean(mean, sample time.Duration) time.Duration {
 	if mean == 0 {
 		return sample
 	}
