--- a/internal/upstream/engine/engine.go
+++ b/internal/upstream/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine runs one request on the upstream beside the agent, over
-// loopback HTTP, and says what became of it. It sends each request once.
+// Package engine runs requests on the upstream next to the agent, over loopback
+// HTTP, and reports their results. It sends each request at most once.
 package engine
 
 import (
@@ -17,18 +17,19 @@
 )
 
 const (
-	// dialTimeout bounds the connection to an upstream on the same VM.
+	// dialTimeout is the time limit for connecting to the upstream, which is on the
+	// same VM.
 	dialTimeout = 500 * time.Millisecond
-	// loadTimeout bounds the reading of a load report, maxReport its size.
-	loadTimeout = time.Second
-	maxReport   = 64 << 10
-	// chunk is the most that is read at once.
-	chunk = 16 << 10
-	// eventStream is the content type of a streamed answer.
-	eventStream = "text/event-stream"
+	// loadTimeout and maxLoadReport limit the time and size of a load report.
+	loadTimeout   = time.Second
+	maxLoadReport = 64 << 10
+	// readBufferSize is the maximum number of bytes per read.
+	readBufferSize = 16 << 10
+	// eventStreamType is the content type of streamed answers.
+	eventStreamType = "text/event-stream"
 )
 
-// Call is the request as the upstream shall see it.
+// Call is a request to the upstream.
 type Call struct {
 	requestID string
 	method    string
@@ -42,46 +43,46 @@
 	return Call{requestID: requestID, method: method, path: path, headers: headers, body: body}
 }
 
-// Sink takes the answer as it comes.
+// Sink receives the answer while it arrives.
 type Sink interface {
 	SetHead(head *wire.Head)
 	Write(ctx context.Context, p []byte) error
 }
 
-// Observer is told of progress, for limits and forecasts.
+// Observer receives the progress of a call, for limits and forecasts.
 type Observer interface {
 	FirstToken(now time.Time)
 	Tokens(now time.Time, count int)
 }
 
-// Result is what became of a call.
+// Result is the result of a call.
 type Result struct {
-	outcome wire.End_Outcome
-	sent    bool
-	cut     bool
-	status  int
-	tokens  int
-	detail  string
+	outcome   wire.End_Outcome
+	sent      bool
+	truncated bool
+	status    int
+	tokens    int
+	detail    string
 }
 
 // Outcome returns how the run ended.
 func (r Result) Outcome() wire.End_Outcome { return r.outcome }
 
-// Sent tells whether any byte may have reached the upstream. When false, the
+// Sent reports whether any byte may have reached the upstream. If false, the
 // request did not run.
 func (r Result) Sent() bool { return r.sent }
 
-// Cut tells whether the upstream ended the connection in the midst of the
-// answer, as it does when it dies.
-func (r Result) Cut() bool { return r.cut }
+// Cut reports whether the connection failed before the answer was complete, as it
+// does when the upstream crashes.
+func (r Result) Cut() bool { return r.truncated }
 
-// Status returns the HTTP status, 0 if none came.
+// Status returns the HTTP status, or 0 if none was received.
 func (r Result) Status() int { return r.status }
 
-// Tokens returns the number of tokens streamed.
+// Tokens returns the number of tokens received.
 func (r Result) Tokens() int { return r.tokens }
 
-// Detail returns the failure in words.
+// Detail returns the error message of a failed call.
 func (r Result) Detail() string { return r.detail }
 
 // Dialer opens connections to the upstream.
@@ -89,7 +90,7 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client speaks to one upstream.
+// Client sends requests to one upstream.
 type Client struct {
 	base   string
 	dialer Dialer
@@ -98,10 +99,10 @@
 }
 
 // New returns a client for the upstream at base, such as
-// "http://127.0.0.1:9000". Each call has a connection of its own: on a kept
-// one, the library would by itself send a request again whose connection
-// ended early, and a request must reach the upstream at most once. A new
-// connection over loopback costs little, and cannot have gone silent before.
+// "http://127.0.0.1:9000". Each call uses a new connection: on a reused one,
+// net/http may resend a request whose connection was closed early, but a request
+// must reach the upstream at most once. A new connection over loopback is cheap
+// and cannot be stale.
 func New(base string, now func() time.Time, dialer Dialer) *Client {
 	transport := &http.Transport{
 		DialContext:        dialer.DialContext,
@@ -111,12 +112,12 @@
 	return &Client{base: base, dialer: dialer, http: &http.Client{Transport: transport, CheckRedirect: noRedirect}, now: now}
 }
 
-// noRedirect hands a redirect to the caller; following it would be a second
+// noRedirect returns redirects to the caller; following one would be a second
 // request.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Run sends the call and copies the answer to the sink until it ends or the
-// context does.
+// Run sends the call and copies the answer to the sink until the answer ends or
+// the context is done.
 func (c *Client) Run(ctx context.Context, call Call, sink Sink, observer Observer) Result {
 	request, err := http.NewRequestWithContext(ctx, call.method, c.base+call.path, bytes.NewReader(call.body))
 	if err != nil {
@@ -129,28 +130,28 @@
 	request.Header.Set("X-Request-Id", call.requestID)
 	response, err := c.http.Do(request)
 	if err != nil {
-		return c.failed(ctx, err, Result{sent: !neverConnected(err)})
+		return c.failedResult(ctx, err, Result{sent: !isDialError(err)})
 	}
 	defer func() { _ = response.Body.Close() }()
-	sink.SetHead(&wire.Head{Status: uint32(response.StatusCode), Headers: fields(response.Header)})
+	sink.SetHead(&wire.Head{Status: uint32(response.StatusCode), Headers: headerFields(response.Header)})
 	result := Result{sent: true, status: response.StatusCode}
-	streamed := strings.HasPrefix(response.Header.Get("Content-Type"), eventStream)
-	result.tokens, err = c.copyBody(ctx, response.Body, sink, observer, streamed)
+	isEventStream := strings.HasPrefix(response.Header.Get("Content-Type"), eventStreamType)
+	result.tokens, err = c.copyBody(ctx, response.Body, sink, observer, isEventStream)
 	if err != nil {
-		return c.failed(ctx, err, result)
+		return c.failedResult(ctx, err, result)
 	}
 	result.outcome = wire.End_OUTCOME_ANSWERED
 	return result
 }
 
-func (c *Client) copyBody(ctx context.Context, body io.Reader, sink Sink, observer Observer, streamed bool) (int, error) {
+func (c *Client) copyBody(ctx context.Context, body io.Reader, sink Sink, observer Observer, isEventStream bool) (int, error) {
 	tokens := 0
-	buffer := make([]byte, chunk)
+	buffer := make([]byte, readBufferSize)
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
 			count := 1
-			if streamed {
+			if isEventStream {
 				count = bytes.Count(buffer[:n], []byte("data:"))
 			}
 			now := c.now()
@@ -172,29 +173,30 @@
 	}
 }
 
-func (c *Client) failed(ctx context.Context, err error, result Result) Result {
+func (c *Client) failedResult(ctx context.Context, err error, result Result) Result {
 	result.detail = err.Error()
 	result.outcome = wire.End_OUTCOME_FAILED
 	if ctx.Err() != nil {
 		result.outcome = wire.End_OUTCOME_CANCELED
 		return result
 	}
-	result.cut = result.sent
+	result.truncated = result.sent
 	return result
 }
 
-// neverConnected is the proof that nothing was sent.
-func neverConnected(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+// isDialError reports whether the connection was not established, which proves that
+// nothing was sent.
+func isDialError(err error) bool {
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
-// Report is what an engine says of itself; a field it does not know is 0.
+// Report is an engine's load report. Fields that the engine does not report are 0.
 type Report struct {
 	CachedTokens int `json:"cached-tokens"`
 }
 
-// Load reads the engine's load report.
+// Load fetches the engine's load report.
 func (c *Client) Load(ctx context.Context) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -208,11 +210,11 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	var report Report
-	err = json.NewDecoder(io.LimitReader(response.Body, maxReport)).Decode(&report)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxLoadReport)).Decode(&report)
 	return report, err
 }
 
-// Alive tells whether the upstream accepts connections.
+// Alive reports whether the upstream accepts connections.
 func (c *Client) Alive(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -224,21 +226,22 @@
 	return true
 }
 
-// hopByHop are fields that belong to one connection, not to the answer.
+// hopByHop are the header fields that apply to a single connection and are not
+// forwarded.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-func fields(header http.Header) []*wire.Field {
-	var out []*wire.Field
+func headerFields(header http.Header) []*wire.Field {
+	var fields []*wire.Field
 	for name, values := range header {
 		if hopByHop[name] {
 			continue
 		}
 		for _, value := range values {
-			out = append(out, &wire.Field{Name: name, Value: value})
+			fields = append(fields, &wire.Field{Name: name, Value: value})
 		}
 	}
-	return out
+	return fields
 }
