--- a/internal/upstream/answer/answer.go
+++ b/internal/upstream/answer/answer.go
@@ -1,7 +1,7 @@
-// Package answer keeps the answer of one run between the upstream that
-// produces it and the link that carries it. Bytes stay until the entry has
-// acknowledged them, so that an answer can be resumed at its offset on a new
-// link; the producer is held back when too many are unacknowledged.
+// Package answer buffers the answer of a run between the upstream that produces it
+// and the link that transfers it. Bytes are kept until the entry acknowledges them,
+// so that an answer can be resumed at its offset on a new link. The producer is
+// blocked while too many bytes are unacknowledged.
 package answer
 
 import (
@@ -18,16 +18,17 @@
 
 // Errors of this package.
 var (
-	// Gone: the bytes asked for were acknowledged and released already.
+	// Gone means that the requested bytes have been acknowledged and released.
 	Gone = namespace.NewType("gone")
-	// Closed: the buffer was closed and takes no more bytes.
+	// Closed means that the buffer was closed and accepts no more bytes.
 	Closed = namespace.NewType("closed")
 )
 
-// maxPiece bounds the bytes of one piece, well under a frame.
-const maxPiece = 32 << 10
+// maxChunkBytes is the maximum number of body bytes in a Piece; it is well below
+// the maximum frame size.
+const maxChunkBytes = 32 << 10
 
-// Piece is the next thing to send.
+// Piece is the next part of an answer to send: its head, body bytes or its end.
 type Piece struct {
 	head   *wire.Head
 	offset uint64
@@ -35,63 +36,63 @@
 	end    *wire.End
 }
 
-// Head returns the head, when it is the next thing to send.
+// Head returns the head, if it is the next part.
 func (p Piece) Head() *wire.Head { return p.head }
 
-// Offset returns the offset of Data in the answer's body.
+// Offset returns the offset of Data in the body.
 func (p Piece) Offset() uint64 { return p.offset }
 
-// Data returns body bytes; the caller must not change them.
+// Data returns body bytes; the caller must not modify them.
 func (p Piece) Data() []byte { return p.data }
 
-// End returns the end, when everything before it was sent.
+// End returns the end, if everything before it has been read.
 func (p Piece) End() *wire.End { return p.end }
 
-// Buffer is the answer of one run. It is safe for one producer and any number
+// Buffer buffers the answer of one run. It is safe for one producer and any number
 // of readers.
 type Buffer struct {
 	requestID  string
-	bound      int
-	keep       int
+	maxUnacked int
+	retained   int
 	invariants *invariant.Recorder
 
-	mu      sync.Mutex
-	changed chan struct{}
-	head    *wire.Head
-	data    []byte
-	base    uint64
-	acked   uint64
-	end     *wire.End
-	closed  bool
+	mu          sync.Mutex
+	changed     chan struct{}
+	head        *wire.Head
+	data        []byte
+	baseOffset  uint64
+	ackedOffset uint64
+	end         *wire.End
+	closed      bool
 }
 
-// New returns an empty buffer that holds at most bound unacknowledged bytes.
-// The first keep bytes of the answer are held even when acknowledged, for
-// actions whose answer may be asked for again.
-func New(requestID string, bound, keep int, invariants *invariant.Recorder) *Buffer {
-	return &Buffer{requestID: requestID, bound: bound, keep: keep, invariants: invariants, changed: make(chan struct{})}
+// New returns an empty buffer whose writes block at maxUnacked unacknowledged
+// bytes. An answer of at most retained bytes is kept even when it is acknowledged,
+// for actions whose answer may be requested again.
+func New(requestID string, maxUnacked, retained int, invariants *invariant.Recorder) *Buffer {
+	return &Buffer{requestID: requestID, maxUnacked: maxUnacked, retained: retained, invariants: invariants, changed: make(chan struct{})}
 }
 
-// SetHead records the status line and header fields.
+// SetHead sets the status and header fields.
 func (b *Buffer) SetHead(head *wire.Head) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.head = head
-	b.wake()
+	b.notify()
 }
 
-// Write adds body bytes; it blocks while the bound is reached and fails when
-// the buffer was closed or the context ended.
+// Write appends body bytes. It blocks while too many bytes are unacknowledged, and
+// fails if the buffer is closed or the context is done.
 func (b *Buffer) Write(ctx context.Context, p []byte) error {
 	for {
 		b.mu.Lock()
 		if b.closed {
 			b.mu.Unlock()
-			return Closed.New("the answer of %s was closed; stop producing it", b.requestID)
+			return Closed.New("the answer buffer of %s is closed", b.requestID)
 		}
-		if b.unacked() < b.bound {
+		if b.unacked() < b.maxUnacked {
 			b.data = append(b.data, p...)
-			b.wake()
+			b.notify()
 			b.mu.Unlock()
 			return nil
 		}
@@ -105,53 +106,54 @@
 	}
 }
 
-// Finish records the one end of the answer.
+// Finish sets the end of the answer. It must be called only once.
 func (b *Buffer) Finish(outcome wire.End_Outcome, detail string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.invariants.Check(b.end == nil, invariant.AnswerEndsOnce, b.requestID, "a second end") {
+	if !b.invariants.Check(b.end == nil, invariant.AnswerEndsOnce, b.requestID, "answer finished twice") {
 		return
 	}
-	b.end = &wire.End{Outcome: outcome, Length: b.base + uint64(len(b.data)), Detail: detail}
-	b.wake()
+	b.end = &wire.End{Outcome: outcome, Length: b.baseOffset + uint64(len(b.data)), Detail: detail}
+	b.notify()
 }
 
-// Ended returns the end, or nil while the run goes on.
+// Ended returns the end, or nil while the answer is not finished.
 func (b *Buffer) Ended() *wire.End {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.end
 }
 
-// Ack releases the bytes below offset.
+// Ack acknowledges the bytes below offset. They are released unless offset is at
+// most the number of retained bytes.
 func (b *Buffer) Ack(offset uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	limit := b.base + uint64(len(b.data))
-	if offset > limit || offset <= b.acked {
+	produced := b.baseOffset + uint64(len(b.data))
+	if offset > produced || offset <= b.ackedOffset {
 		return
 	}
-	b.acked = offset
-	if offset > uint64(b.keep) && offset > b.base {
-		b.data = append([]byte(nil), b.data[offset-b.base:]...)
-		b.base = offset
+	b.ackedOffset = offset
+	if offset > uint64(b.retained) && offset > b.baseOffset {
+		b.data = append([]byte(nil), b.data[offset-b.baseOffset:]...)
+		b.baseOffset = offset
 	}
-	b.wake()
+	b.notify()
 }
 
-// Close stops the producer; what was produced stays readable.
+// Close makes further writes fail; bytes that were written stay readable.
 func (b *Buffer) Close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
-	b.wake()
+	b.notify()
 }
 
-// Next blocks until there is something to send after what the reader has:
-// the head when needHead, then the bytes from offset, then the end.
+// Next blocks until the next part of the answer is available and returns it: the
+// head if needHead is set, then bytes from offset, then the end.
 func (b *Buffer) Next(ctx context.Context, needHead bool, offset uint64) (Piece, error) {
 	for {
-		piece, ready, changed, err := b.look(needHead, offset)
+		piece, ready, changed, err := b.poll(needHead, offset)
 		if err != nil || ready {
 			return piece, err
 		}
@@ -163,20 +165,20 @@
 	}
 }
 
-func (b *Buffer) look(needHead bool, offset uint64) (Piece, bool, <-chan struct{}, error) {
+func (b *Buffer) poll(needHead bool, offset uint64) (Piece, bool, <-chan struct{}, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if needHead && b.head != nil {
 		return Piece{head: b.head}, true, nil, nil
 	}
-	if offset < b.base {
-		return Piece{}, false, nil, Gone.New("bytes from %d of %s were released at %d; only an answer of at most %d bytes can be read again", offset, b.requestID, b.base, b.keep)
+	if offset < b.baseOffset {
+		return Piece{}, false, nil, Gone.New("bytes from %d of %s were released at %d; only an answer of at most %d bytes can be read again", offset, b.requestID, b.baseOffset, b.retained)
 	}
-	available := b.base + uint64(len(b.data))
-	if !needHead && offset < available {
-		from := offset - b.base
-		until := min(from+maxPiece, uint64(len(b.data)))
-		return Piece{offset: offset, data: b.data[from:until:until]}, true, nil, nil
+	produced := b.baseOffset + uint64(len(b.data))
+	if !needHead && offset < produced {
+		from := offset - b.baseOffset
+		to := min(from+maxChunkBytes, uint64(len(b.data)))
+		return Piece{offset: offset, data: b.data[from:to:to]}, true, nil, nil
 	}
 	if b.end != nil {
 		return Piece{end: b.end}, true, nil, nil
@@ -185,11 +187,11 @@
 }
 
 func (b *Buffer) unacked() int {
-	return int(b.base + uint64(len(b.data)) - b.acked)
+	return int(b.baseOffset + uint64(len(b.data)) - b.ackedOffset)
 }
 
-// wake tells everyone who waits; the caller holds the lock.
-func (b *Buffer) wake() {
+// notify wakes all waiting goroutines; the caller must hold the lock.
+func (b *Buffer) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
--- a/internal/upstream/answer/answer_test.go
+++ b/internal/upstream/answer/answer_test.go
@@ -20,22 +20,22 @@
 	return invariant.New(slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// A student sees a word twice, or a gap, where a link was replaced.
-// A reader that resumes at its offset, as often as links break, must see every
-// byte once and in order, however acknowledgements and writes interleave.
+// Guards against duplicate or missing text where a link was replaced: a reader
+// that resumes at its offset any number of times must read every byte once and in
+// order, however acknowledgements and writes interleave.
 func TestResumedReaderSeesEveryByteOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
-		keep := rapid.SampledFrom([]int{0, 64, 1 << 20}).Draw(t, "keep")
-		b := answer.New("r", 1<<30, keep, recorder())
+		retained := rapid.SampledFrom([]int{0, 64, 1 << 20}).Draw(t, "keep")
+		b := answer.New("r", 1<<30, retained, recorder())
 		b.SetHead(&wire.Head{Status: 200})
-		whole := rapid.SliceOfN(rapid.Byte(), 1, 2000).Draw(t, "answer")
+		body := rapid.SliceOfN(rapid.Byte(), 1, 2000).Draw(t, "answer")
 		var read []byte
 		written := 0
-		for len(read) < len(whole) {
-			if written < len(whole) && (rapid.Bool().Draw(t, "write") || written == len(read)) {
-				until := min(written+rapid.IntRange(1, 300).Draw(t, "bytes"), len(whole))
-				require.NoError(t, b.Write(ctx, whole[written:until]))
+		for len(read) < len(body) {
+			if written < len(body) && (rapid.Bool().Draw(t, "write") || written == len(read)) {
+				until := min(written+rapid.IntRange(1, 300).Draw(t, "bytes"), len(body))
+				require.NoError(t, b.Write(ctx, body[written:until]))
 				written = until
 				continue
 			}
@@ -50,12 +50,12 @@
 		b.Finish(wire.End_OUTCOME_ANSWERED, "")
 		piece, err := b.Next(ctx, false, uint64(len(read)))
 		require.NoError(t, err)
-		require.Equal(t, uint64(len(whole)), piece.End().GetLength())
-		require.Equal(t, whole, read)
+		require.Equal(t, uint64(len(body)), piece.End().GetLength())
+		require.Equal(t, body, read)
 	})
 }
 
-func TestReleasedBytesAreGoneAndSaySo(t *testing.T) {
+func TestReadingReleasedBytesFails(t *testing.T) {
 	b := answer.New("r", 1<<20, 0, recorder())
 	require.NoError(t, b.Write(context.Background(), []byte("abcdef")))
 	b.Ack(4)
@@ -63,7 +63,7 @@
 	require.True(t, errorx.IsOfType(err, answer.Gone))
 }
 
-func TestASecondEndIsABreach(t *testing.T) {
+func TestSecondEndBreachesInvariant(t *testing.T) {
 	invariants := recorder()
 	b := answer.New("r", 1<<20, 0, invariants)
 	b.Finish(wire.End_OUTCOME_ANSWERED, "")
