--- a/internal/upstream/suspect/suspect.go
+++ b/internal/upstream/suspect/suspect.go
@@ -1,9 +1,10 @@
-// Package suspect finds requests that crash the upstreams that run them. The
-// body's fingerprint is the identity, since the caller sends it again. What
-// an upstream was running when it died becomes suspect, and a suspect runs
-// alone. A fingerprint is convicted when it is all that two crashes have in
-// common: co-runners at one crash are mostly innocent, and because suspects
-// run alone an innocent one does not meet the guilty one again.
+// Package suspect identifies requests that crash the upstreams that run them.
+// Requests are identified by the fingerprint of their body, which stays the same
+// when the caller retries. All requests that an upstream was running when it
+// crashed become suspect, and a suspect runs alone. A fingerprint is convicted if
+// it is the only one that two crashes have in common: most of the requests that
+// were running at a crash did not cause it, and because suspects run alone, they
+// do not run beside the cause again.
 package suspect
 
 import (
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// Standing is what is known against a fingerprint.
+// Standing is the status of a fingerprint.
 type Standing int
 
 // The standings.
@@ -23,38 +24,42 @@
 )
 
 const (
-	// suspectedFor is how long a crash is remembered.
-	suspectedFor = 10 * time.Minute
-	// convictedFor is how long a conviction lasts.
-	convictedFor = 6 * time.Hour
-	// maxCrashes and maxConvicted bound the state; the oldest go first.
+	// crashRetention is how long a crash is kept.
+	crashRetention = 10 * time.Minute
+	// convictionRetention is how long a conviction lasts.
+	convictionRetention = 6 * time.Hour
+	// maxCrashes and maxConvicted bound the state. When there are too many crashes
+	// the oldest is dropped; when there are too many convictions new ones are not
+	// added.
 	maxCrashes   = 256
 	maxConvicted = 4096
-	// maxRunning bounds the fingerprints kept of one crash.
-	maxRunning = 512
+	// maxFingerprintsPerCrash bounds the fingerprints of a crash; a larger crash is
+	// ignored.
+	maxFingerprintsPerCrash = 512
 )
 
-// Crash is what an upstream was running when it died.
+// Crash is the crash of an upstream, with the fingerprints of the requests that it
+// was running.
 type Crash struct {
 	id           uint64
 	at           time.Time
 	fingerprints []uint64
 }
 
-// NewCrash returns a crash with its id, which all who report it derive alike.
+// NewCrash returns a crash. All reporters of a crash derive the same id for it.
 func NewCrash(id uint64, at time.Time, fingerprints []uint64) Crash {
 	sorted := slices.Clone(fingerprints)
 	slices.Sort(sorted)
 	return Crash{id: id, at: at, fingerprints: slices.Compact(sorted)}
 }
 
-// ID returns the crash's id.
+// ID returns the ID of the crash.
 func (c Crash) ID() uint64 { return c.id }
 
-// Fingerprints returns what was running, in order.
+// Fingerprints returns the fingerprints of the running requests, sorted.
 func (c Crash) Fingerprints() []uint64 { return c.fingerprints }
 
-// Register holds what is known of crashes. It is safe for concurrent use.
+// Register records crashes and convictions. It is safe for concurrent use.
 type Register struct {
 	mu        sync.Mutex
 	crashes   []Crash
@@ -64,14 +69,14 @@
 // New returns an empty register.
 func New() *Register { return &Register{convicted: make(map[uint64]time.Time)} }
 
-// Learn takes a crash, seen here or told by a peer, and returns whether any of
-// it was new. Peers that saw parts of one crash are merged by its id.
+// Learn records a crash that was observed here or reported by a peer, and returns
+// whether it added anything. Partial reports of one crash are merged by its ID.
 func (r *Register) Learn(now time.Time, crash Crash) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.age(now)
-	merged, news := r.merge(crash)
-	if !news {
+	r.expire(now)
+	merged, changed := r.merge(crash)
+	if !changed {
 		return false
 	}
 	for _, other := range r.crashes {
@@ -87,12 +92,12 @@
 		if known.id != crash.id {
 			continue
 		}
-		both := NewCrash(known.id, known.at, slices.Concat(known.fingerprints, crash.fingerprints))
-		news := len(both.fingerprints) > len(known.fingerprints)
-		r.crashes[i] = both
-		return both, news
+		merged := NewCrash(known.id, known.at, slices.Concat(known.fingerprints, crash.fingerprints))
+		changed := len(merged.fingerprints) > len(known.fingerprints)
+		r.crashes[i] = merged
+		return merged, changed
 	}
-	if len(crash.fingerprints) == 0 || len(crash.fingerprints) > maxRunning {
+	if len(crash.fingerprints) == 0 || len(crash.fingerprints) > maxFingerprintsPerCrash {
 		return crash, false
 	}
 	r.crashes = append(r.crashes, crash)
@@ -117,25 +122,25 @@
 	}
 }
 
-// Clear notes that the fingerprint ran alone and ended well: it is innocent of
-// every crash seen so far.
+// Clear removes the fingerprint from all recorded crashes, because it ran alone
+// and finished without a crash.
 func (r *Register) Clear(fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.crashes {
-		kept := slices.DeleteFunc(slices.Clone(r.crashes[i].fingerprints), func(f uint64) bool { return f == fingerprint })
-		r.crashes[i].fingerprints = kept
+		remaining := slices.DeleteFunc(slices.Clone(r.crashes[i].fingerprints), func(f uint64) bool { return f == fingerprint })
+		r.crashes[i].fingerprints = remaining
 	}
 }
 
-// Standing returns what is known against the fingerprint.
+// Standing returns the status of the fingerprint.
 func (r *Register) Standing(now time.Time, fingerprint uint64) Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.crashes) == 0 && len(r.convicted) == 0 {
 		return Innocent
 	}
-	r.age(now)
+	r.expire(now)
 	if _, ok := r.convicted[fingerprint]; ok {
 		return Convicted
 	}
@@ -147,11 +152,11 @@
 	return Innocent
 }
 
-// Crashes returns all crashes remembered, oldest first, to tell a peer.
+// Crashes returns all recorded crashes, oldest first, for reporting to peers.
 func (r *Register) Crashes(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.age(now)
+	r.expire(now)
 	return slices.Clone(r.crashes)
 }
 
@@ -159,14 +164,14 @@
 func (r *Register) Convicted(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.age(now)
+	r.expire(now)
 	return len(r.convicted)
 }
 
-func (r *Register) age(now time.Time) {
-	r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool { return now.Sub(c.at) > suspectedFor })
+func (r *Register) expire(now time.Time) {
+	r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool { return now.Sub(c.at) > crashRetention })
 	for fingerprint, at := range r.convicted {
-		if now.Sub(at) > convictedFor {
+		if now.Sub(at) > convictionRetention {
 			delete(r.convicted, fingerprint)
 		}
 	}
--- a/internal/upstream/suspect/suspect_test.go
+++ b/internal/upstream/suspect/suspect_test.go
@@ -11,19 +11,19 @@
 
 var start = time.Date(2026, 12, 1, 18, 0, 0, 0, time.UTC)
 
-// Each case is what the crashes so far must mean for each fingerprint.
-func TestStandings(t *testing.T) {
+// Each case lists crashes and the resulting status of each fingerprint.
+func TestStatusAfterCrashes(t *testing.T) {
 	const guilty, innocent, other = 1, 2, 3
 	cases := []struct {
 		name    string
 		crashes [][]uint64
 		want    map[uint64]suspect.Standing
 	}{
-		{"one crash suspects all that ran", [][]uint64{{guilty, innocent}}, map[uint64]suspect.Standing{guilty: suspect.Suspected, innocent: suspect.Suspected}},
-		{"what two crashes share is guilty", [][]uint64{{guilty, innocent}, {guilty, other}}, map[uint64]suspect.Standing{guilty: suspect.Convicted, innocent: suspect.Suspected, other: suspect.Suspected}},
-		{"sharing two fingerprints proves nothing", [][]uint64{{guilty, innocent}, {guilty, innocent}}, map[uint64]suspect.Standing{guilty: suspect.Suspected, innocent: suspect.Suspected}},
-		{"a third crash alone does", [][]uint64{{guilty, innocent}, {guilty, innocent}, {guilty}}, map[uint64]suspect.Standing{guilty: suspect.Convicted, innocent: suspect.Suspected}},
-		{"one that never ran is innocent", [][]uint64{{guilty}}, map[uint64]suspect.Standing{other: suspect.Innocent}},
+		{"after one crash all running requests are suspect", [][]uint64{{guilty, innocent}}, map[uint64]suspect.Standing{guilty: suspect.Suspected, innocent: suspect.Suspected}},
+		{"the only fingerprint in both crashes is convicted", [][]uint64{{guilty, innocent}, {guilty, other}}, map[uint64]suspect.Standing{guilty: suspect.Convicted, innocent: suspect.Suspected, other: suspect.Suspected}},
+		{"two common fingerprints are not enough", [][]uint64{{guilty, innocent}, {guilty, innocent}}, map[uint64]suspect.Standing{guilty: suspect.Suspected, innocent: suspect.Suspected}},
+		{"a third crash of a request that ran alone convicts it", [][]uint64{{guilty, innocent}, {guilty, innocent}, {guilty}}, map[uint64]suspect.Standing{guilty: suspect.Convicted, innocent: suspect.Suspected}},
+		{"a request that was not running is not suspect", [][]uint64{{guilty}}, map[uint64]suspect.Standing{other: suspect.Innocent}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -38,17 +38,17 @@
 	}
 }
 
-// The same crash, told by the agent and by two entries, counted as three and
-// convicted everything that had run.
-func TestOneCrashToldThriceIsOne(t *testing.T) {
+// Guards against convicting all requests that were running at a crash because the
+// agent and two entries report it and it counts as three crashes.
+func TestRepeatedReportsOfOneCrashCountOnce(t *testing.T) {
 	r := suspect.New()
 	require.True(t, r.Learn(start, suspect.NewCrash(7, start, []uint64{1})))
 	require.False(t, r.Learn(start, suspect.NewCrash(7, start, []uint64{1})))
-	require.True(t, r.Learn(start, suspect.NewCrash(7, start, []uint64{1, 2})), "its other half is news")
+	require.True(t, r.Learn(start, suspect.NewCrash(7, start, []uint64{1, 2})), "the second fingerprint is new")
 	require.Equal(t, suspect.Suspected, r.Standing(start, 1))
 }
 
-func TestClearedAndAged(t *testing.T) {
+func TestClearAndExpiry(t *testing.T) {
 	r := suspect.New()
 	r.Learn(start, suspect.NewCrash(1, start, []uint64{1, 2}))
 	r.Clear(1)
