--- a/internal/upstream/prefixcache/prefixcache.go
+++ b/internal/upstream/prefixcache/prefixcache.go
@@ -1,7 +1,8 @@
-// Package prefixcache keeps a guess of which prompt prefixes an engine's cache
-// holds. The agent sees all traffic to its engine in order, which the engine's
-// own cache events, late and with gaps, do not tell; it needs only the cache's
-// size, which it learns from the engine's load reports.
+// Package prefixcache estimates which prompt prefixes an engine has in its cache.
+// It is based on the requests that the agent dispatches, because the agent sees
+// all of them in order, while the engine's own cache events are late and
+// incomplete. The only other input is the cache size, which is learned from the
+// engine's load reports.
 package prefixcache
 
 import (
@@ -9,78 +10,79 @@
 )
 
 const (
-	// assumedTokens is the cache's size until the engine has reported.
-	assumedTokens = 16000
-	// toldMost bounds the prefixes told to entries, most recent first.
-	toldMost = 12
+	// defaultCapacityTokens is the assumed cache size until the engine reports it.
+	defaultCapacityTokens = 16000
+	// maxRecentKeys bounds the prefixes that are reported to entries.
+	maxRecentKeys = 12
 )
 
+// prefix is a cached prompt prefix with its size.
 type prefix struct {
 	key    uint64
 	tokens int
 }
 
-// Guess is a least-recently-used list of prefixes. It is not safe for
-// concurrent use.
+// Guess is the estimated content of one cache, as an LRU list of prefixes. It is
+// not safe for concurrent use.
 type Guess struct {
-	capacity int
-	used     int
-	order    *list.List
-	found    map[uint64]*list.Element
+	capacityTokens int
+	usedTokens     int
+	order          *list.List
+	elements       map[uint64]*list.Element
 }
 
-// New returns an empty guess.
-func New() *Guess { return &Guess{order: list.New(), found: make(map[uint64]*list.Element)} }
+// New returns the estimate of an empty cache.
+func New() *Guess { return &Guess{order: list.New(), elements: make(map[uint64]*list.Element)} }
 
-// Used notes that a prompt with the prefix was dispatched.
+// Used records that a prompt with the prefix was dispatched.
 func (g *Guess) Used(key uint64, tokens int) {
-	if element, ok := g.found[key]; ok {
+	if element, ok := g.elements[key]; ok {
 		g.order.MoveToFront(element)
 		return
 	}
-	g.found[key] = g.order.PushFront(prefix{key, tokens})
-	g.used += tokens
-	g.trim()
+	g.elements[key] = g.order.PushFront(prefix{key, tokens})
+	g.usedTokens += tokens
+	g.evict()
 }
 
-// Reported takes the number of tokens that the engine said its cache holds.
-// The highest ever said is taken as its size, since a cache that has room
-// says less than its size.
+// Reported records the number of cached tokens that the engine reported. The
+// maximum is used as the cache size, because a cache that is not full reports
+// less than its size.
 func (g *Guess) Reported(tokens int) {
-	g.capacity = max(g.capacity, tokens)
-	g.trim()
+	g.capacityTokens = max(g.capacityTokens, tokens)
+	g.evict()
 }
 
-// Lost forgets everything: the engine was restarted.
+// Lost removes all prefixes after the engine was restarted.
 func (g *Guess) Lost() {
 	g.order.Init()
-	g.found = make(map[uint64]*list.Element)
-	g.used = 0
+	g.elements = make(map[uint64]*list.Element)
+	g.usedTokens = 0
 }
 
-// Told returns short marks of the prefixes held, most recent first.
+// Told returns the shortened keys of the most recently used prefixes, most recent
+// first.
 func (g *Guess) Told() []uint32 {
-	marks := make([]uint32, 0, min(g.order.Len(), toldMost))
-	for element := g.order.Front(); element != nil && len(marks) < toldMost; element = element.Next() {
-		marks = append(marks, Mark(element.Value.(prefix).key))
+	keys := make([]uint32, 0, min(g.order.Len(), maxRecentKeys))
+	for element := g.order.Front(); element != nil && len(keys) < maxRecentKeys; element = element.Next() {
+		keys = append(keys, Mark(element.Value.(prefix).key))
 	}
-	return marks
+	return keys
 }
 
-// Mark shortens a key for the wire; two prefixes that share a mark cost a
-// wrong guess and nothing else.
+// Mark shortens a key for transmission. A collision only makes the estimate wrong.
 func Mark(key uint64) uint32 { return uint32(key>>32) ^ uint32(key) }
 
-func (g *Guess) trim() {
-	size := g.capacity
-	if size == 0 {
-		size = assumedTokens
+func (g *Guess) evict() {
+	capacity := g.capacityTokens
+	if capacity == 0 {
+		capacity = defaultCapacityTokens
 	}
-	for g.used > size && g.order.Len() > 1 {
+	for g.usedTokens > capacity && g.order.Len() > 1 {
 		oldest := g.order.Back()
-		entry := oldest.Value.(prefix)
+		evicted := oldest.Value.(prefix)
 		g.order.Remove(oldest)
-		delete(g.found, entry.key)
-		g.used -= entry.tokens
+		delete(g.elements, evicted.key)
+		g.usedTokens -= evicted.tokens
 	}
 }
--- a/internal/upstream/prefixcache/prefixcache_test.go
+++ b/internal/upstream/prefixcache/prefixcache_test.go
@@ -8,9 +8,9 @@
 	"github.com/persimmonridge/persimmonridge/internal/upstream/prefixcache"
 )
 
-// Entries sent a class's critiques to an engine that had long evicted their
-// prompt, because the guess knew no bound.
-func TestGuessForgetsLikeTheCache(t *testing.T) {
+// Guards against an estimate without a size limit, with which entries send requests
+// to an engine that has already evicted their prefix.
+func TestEstimateEvictsLikeTheCache(t *testing.T) {
 	g := prefixcache.New()
 	g.Reported(3000)
 	for key := range uint64(4) {
@@ -23,8 +23,8 @@
 	require.Empty(t, g.Told())
 }
 
-// A load report of a half-empty cache must not shrink the guess of its size.
-func TestHighestReportIsTheSize(t *testing.T) {
+// A load report of a partly filled cache must not reduce the estimated cache size.
+func TestHighestReportIsTheCapacity(t *testing.T) {
 	g := prefixcache.New()
 	g.Reported(3000)
 	g.Reported(10)
