--- a/internal/sched/board/ask.go
+++ b/internal/sched/board/ask.go
@@ -6,97 +6,100 @@
 	"time"
 )
 
-// Ask is a request for a place.
+// Ask is a request for a slot on an engine, made on behalf of a generation request.
 type Ask struct {
-	// Owner is the gateway that has the request, ID the request.
+	// Owner is the gateway that handles the request, and ID identifies the request.
 	Owner, ID string
-	// Number tells this ask apart from the owner's others for the request.
+	// Number distinguishes this slot request from the owner's others for the same
+	// generation request.
 	Number  uint64
 	Service string
 	Domain  string
 	Tier    int
-	// Due is when the first event is late, Until when it is of no use.
+	// Due is the deadline of the first event. An answer after Until is useless.
 	Due, Until time.Time
 	Prompt     int
-	// Output is a guess of the tokens that will be generated.
+	// Output is the estimated number of tokens to generate.
 	Output int
-	// Ending tells whether the stream is cut at Until.
+	// Ending tells whether the stream is cut off at Until.
 	Ending  Ending
 	MaxGap  time.Duration
 	Exclude []string
-	// Only and Not bound the versions of the engine; empty bounds nothing.
+	// Only and Not restrict the version of the engine. An empty string does not restrict
+	// it.
 	Only, Not string
-	// Again asks are for requests that were sent before and go first.
+	// Again is set if the request was sent to an engine before. Such requests go first.
 	Again bool
-	// Fingerprint recognizes a request that was refused and comes again.
+	// Fingerprint identifies a request that is retried after a refusal.
 	Fingerprint uint64
 
 	arrived  time.Time
 	giveUpAt time.Time
-	// returned asks were refused before. Their answers are late already, so
-	// they go behind those of their tier that can be in time.
-	returned bool
+	// refusedBefore is set if the request was refused earlier. Its answer is late already,
+	// so it goes after the requests of its tier that can still be served in time.
+	refusedBefore bool
 }
 
-// Verdict answers an ask. A refusal has no upstream.
+// Verdict is the decision on a slot request. Upstream is empty in a refusal.
 type Verdict struct {
 	Owner, ID  string
 	Number     uint64
 	Upstream   string
 	RetryAfter time.Duration
 	Why        string
-	// Waiting tells that the ask waits; another verdict follows.
+	// Waiting is set if the request was queued. Another decision follows.
 	Waiting bool
 }
 
-// Outcome is what a place came to.
+// Outcome is how the use of a slot ended.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a slot.
 const (
-	// Answered: a whole answer came.
+	// Answered: the answer was complete.
 	Answered Outcome = iota
-	// Failed: the engine answered with a failure.
+	// Failed: the engine answered with an error.
 	Failed
 	// Declined: the engine was full.
 	Declined
-	// Unreached: nothing listened.
+	// Unreached: the connection was refused.
 	Unreached
-	// Left: the caller left, or the ask is withdrawn.
+	// Left: the caller left or the slot request was withdrawn.
 	Left
-	// Broken: the connection ended before the answer did.
+	// Broken: the connection was closed before the answer was complete.
 	Broken
 )
 
-// End is what a place that is given back tells.
+// End describes how the use of a slot ended.
 type End struct {
 	Outcome Outcome
-	// Number names the ask or the place. 0 ends any of the request.
+	// Number is the number of the slot request or slot. 0 matches any of the request.
 	Number uint64
-	// Stream is the time from the first event to the last, and Tokens what was
-	// generated in it.
+	// Stream is the time from the first event to the last, and Tokens the number of tokens
+	// generated in that time.
 	Stream time.Duration
 	Tokens int
 }
 
-// allows tells whether the engine may get the request at all.
-func (a *Ask) allows(e *engine) bool {
-	if (a.Only != "" && a.Only != e.Version) || (a.Not != "" && a.Not == e.Version) {
+// allows reports whether the request may be sent to the engine.
+func (req *Ask) allows(e *engine) bool {
+	if (req.Only != "" && req.Only != e.Version) || (req.Not != "" && req.Not == e.Version) {
 		return false
 	}
-	return !slices.Contains(a.Exclude, e.ID)
+	return !slices.Contains(req.Exclude, e.ID)
 }
 
-// enqueue keeps the order in which waiting requests are served: sent before,
-// then tier, then the moment at which the first event is due.
-func (b *Board) enqueue(ask *Ask) {
-	at, _ := slices.BinarySearchFunc(b.waiting, ask, compareAsks)
-	b.waiting = slices.Insert(b.waiting, at, ask)
+// enqueue inserts the request in the order in which waiting requests are served: first
+// those that were sent before, then by tier, by whether they were refused before, and by
+// first-event deadline.
+func (s *Board) enqueue(req *Ask) {
+	at, _ := slices.BinarySearchFunc(s.waiting, req, compareRequests)
+	s.waiting = slices.Insert(s.waiting, at, req)
 }
 
-func compareAsks(x, y *Ask) int {
+func compareRequests(x, y *Ask) int {
 	return cmp.Or(
-		-compareBools(x.Again, y.Again), cmp.Compare(x.Tier, y.Tier), compareBools(x.returned, y.returned),
+		-compareBools(x.Again, y.Again), cmp.Compare(x.Tier, y.Tier), compareBools(x.refusedBefore, y.refusedBefore),
 		x.Due.Compare(y.Due), cmp.Compare(x.ID, y.ID),
 	)
 }
--- a/internal/sched/board/board.go
+++ b/internal/sched/board/board.go
@@ -1,7 +1,7 @@
-// Package board decides which engine a generation goes to, which requests wait
-// and which are refused. It sees all requests of the gateways that ask it, and
-// so never gives an engine more than it has slots for. It does no I/O and asks
-// no clock.
+// Package board schedules generation requests on engines: it decides which engine a
+// request goes to, which requests wait and which are refused. It sees the requests of all
+// gateways that use this scheduler, so it never assigns an engine more requests than it
+// has slots. It does no I/O and does not read the clock.
 package board
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Upstream is an engine that may get work.
+// Upstream is an engine that may be assigned requests.
 type Upstream struct {
 	ID      string
 	Service string
@@ -18,201 +18,203 @@
 	Version string
 	Slots   int
 	Born    int64
-	// EventTokens is how many tokens one event of a stream holds.
+	// EventTokens is the number of tokens in one stream event.
 	EventTokens int
 }
 
-// Board is the state. It is not safe for concurrent use.
+// Board is the state of a scheduler. It is not safe for concurrent use.
 type Board struct {
 	engines map[string]*engine
-	// byService has each service's engines in the order of their ids.
+	// byService holds the engines of each service, sorted by ID.
 	byService map[string][]*engine
 	byRun     map[string]*engine
-	// byOwner has the keys of each gateway's runs.
+	// byOwner holds the keys of each gateway's runs.
 	byOwner map[string]map[string]struct{}
-	// scanned is the engine with which the next search begins.
-	scanned  int
-	waiting  []*Ask
-	late     []*Ask
-	verdicts []Verdict
-	spread   uint64
-	// others is the part of the gateways that asks other schedulers.
-	others float64
-	// saturatedSince is since when requests that can be in time wait.
+	// scanOffset is the index of the engine at which the next search starts.
+	scanOffset  int
+	waiting     []*Ask
+	late        []*Ask
+	decisions   []Verdict
+	jitterState uint64
+	// unheardShare is the share of the known gateways that this scheduler does not hear
+	// and that may use other schedulers.
+	unheardShare float64
+	// saturatedSince is when requests that can still be served in time began to wait
+	// without a break.
 	saturatedSince time.Time
 	refusals       refusals
-	// recalled are speeds that another scheduler learned.
-	recalled map[string]Speed
-	// paces tell how often waiting requests of a rank got a place.
-	paces map[rank]*pace
-	// families are what the engines of a service have in common.
-	families map[string]*family
-	// usual are the failure shares by which engines are measured.
-	usual  map[string]usualShare
-	tidied time.Time
+	// restoredSpeeds are engine speeds learned by another scheduler.
+	restoredSpeeds map[string]Speed
+	// grantRates are the rates at which waiting requests of each rank are granted slots.
+	grantRates map[rank]*grantRate
+	// timings holds what the engines of a service have in common.
+	timings map[string]*serviceTiming
+	// baselines cache the failure rate with which the engines of a service are compared.
+	baselines         map[string]failureBaseline
+	refusalsExpiredAt time.Time
 }
 
-// New returns an empty board.
+// New returns an empty scheduler.
 func New() *Board {
 	return &Board{
 		engines: make(map[string]*engine), byService: make(map[string][]*engine), byRun: make(map[string]*engine),
 		byOwner:  make(map[string]map[string]struct{}),
-		refusals: make(refusals), recalled: make(map[string]Speed), paces: make(map[rank]*pace), families: make(map[string]*family),
-		usual: make(map[string]usualShare),
+		refusals: make(refusals), restoredSpeeds: make(map[string]Speed), grantRates: make(map[rank]*grantRate), timings: make(map[string]*serviceTiming),
+		baselines: make(map[string]failureBaseline),
 	}
 }
 
-// SetUpstreams takes the engines that may get work. One that started anew
-// holds nothing of before, and its speed is unknown. One that was not listed for
-// a while runs on, and its places count when it is back.
-func (b *Board) SetUpstreams(now time.Time, upstreams []Upstream) {
-	next := make(map[string]*engine, len(upstreams))
-	b.byService = make(map[string][]*engine)
+// SetUpstreams replaces the list of engines that may be assigned requests. An engine that
+// restarted begins with no runs and an unknown speed. An engine that was unlisted for a
+// while keeps its runs, and they count when it is listed again.
+func (s *Board) SetUpstreams(now time.Time, upstreams []Upstream) {
+	listed := make(map[string]*engine, len(upstreams))
+	s.byService = make(map[string][]*engine)
 	var unlisted map[string]*engine
 	for _, u := range upstreams {
-		e := b.engines[u.ID]
+		e := s.engines[u.ID]
 		if e == nil {
 			if unlisted == nil {
-				unlisted = b.unlisted()
+				unlisted = s.unlisted()
 			}
 			if e = unlisted[u.ID]; e != nil {
-				e.setSplit(now, b.others)
+				e.setShared(now, s.unheardShare)
 			}
 		}
 		if e == nil || e.Born != u.Born {
-			e = newEngine(now, u, b.family(u.Service))
-			e.setSplit(now, b.others)
-			b.remember(e)
+			e = newEngine(now, u, s.timing(u.Service))
+			e.setShared(now, s.unheardShare)
+			s.applyRestoredSpeed(e)
 		}
 		e.Upstream = u
-		next[u.ID] = e
-		b.byService[u.Service] = append(b.byService[u.Service], e)
+		listed[u.ID] = e
+		s.byService[u.Service] = append(s.byService[u.Service], e)
 	}
-	for _, list := range b.byService {
+	for _, list := range s.byService {
 		slices.SortFunc(list, func(x, y *engine) int { return cmp.Compare(x.ID, y.ID) })
 	}
-	b.engines = next
-	b.Tick(now)
+	s.engines = listed
+	s.Tick(now)
 }
 
-// unlisted returns the engines that may get no work and still have runs.
-func (b *Board) unlisted() map[string]*engine {
+// unlisted returns the engines that are not in the current list but still have runs.
+func (s *Board) unlisted() map[string]*engine {
 	unlisted := make(map[string]*engine)
-	for _, e := range b.byRun {
-		// Of two processes under one id the later one counts.
-		if other := unlisted[e.ID]; b.engines[e.ID] == nil && (other == nil || other.Born < e.Born) {
+	for _, e := range s.byRun {
+		// If two processes have used the same ID, the later one wins.
+		if other := unlisted[e.ID]; s.engines[e.ID] == nil && (other == nil || other.Born < e.Born) {
 			unlisted[e.ID] = e
 		}
 	}
 	return unlisted
 }
 
-func (b *Board) family(service string) *family {
-	f := b.families[service]
-	if f == nil {
-		f = newFamily()
-		b.families[service] = f
+func (s *Board) timing(service string) *serviceTiming {
+	timing := s.timings[service]
+	if timing == nil {
+		timing = newServiceTiming()
+		s.timings[service] = timing
 	}
-	return f
+	return timing
 }
 
-// SetReach tells how many of the known gateways this scheduler hears. The others
-// are gone, or cut off from here and not from the engines: then they use the
-// same engines by their own choice.
-func (b *Board) SetReach(now time.Time, heard, known int) {
-	others := 0.0
+// SetReach sets how many of the known gateways this scheduler hears. The others are down,
+// or they are cut off from this scheduler but not from the engines, and then send requests
+// to the same engines on their own.
+func (s *Board) SetReach(now time.Time, heard, known int) {
+	unheardShare := 0.0
 	if known > 0 {
-		others = float64(known-heard) / float64(known)
+		unheardShare = float64(known-heard) / float64(known)
 	}
-	if others == b.others {
+	if unheardShare == s.unheardShare {
 		return
 	}
-	b.others = others
-	for _, e := range b.engines {
-		e.setSplit(now, others)
+	s.unheardShare = unheardShare
+	for _, e := range s.engines {
+		e.setShared(now, unheardShare)
 	}
 }
 
-// Ask takes a request for a place.
-func (b *Board) Ask(now time.Time, a Ask) {
-	ask := &a
-	if b.outdated(ask) {
+// Ask submits a request for a slot.
+func (s *Board) Ask(now time.Time, request Ask) {
+	req := &request
+	if s.superseded(req) {
 		return
 	}
-	ask.arrived = now
-	// A gateway has one place for a request. One that this board still counts
-	// was given back to another scheduler.
-	b.Ended(now, a.Owner, a.ID, End{Outcome: Left})
-	ask.giveUpAt = earliest(now.Add(lateHold), ask.Until)
-	ask.returned = b.refusals.take(now, ask.Fingerprint)
-	if b.place(now, ask, false) {
+	req.arrived = now
+	// A gateway holds at most one slot per request. If this scheduler still counts an
+	// earlier one, it was released to another scheduler.
+	s.Ended(now, request.Owner, request.ID, End{Outcome: Left})
+	req.giveUpAt = earliest(now.Add(maxLateWait), req.Until)
+	req.refusedBefore = s.refusals.consume(now, req.Fingerprint)
+	if s.tryGrant(now, req, false) {
 		return
 	}
-	if !b.canEnd(now, ask) {
-		b.answer(ask, Verdict{Why: "its gateway stops before an engine could end it"})
+	if !s.canEndInTime(now, req) {
+		s.decide(req, Verdict{Why: "gateway stops before any engine could complete the stream"})
 		return
 	}
-	if spare := b.spare(now, ask); spare >= 0 {
-		if b.hopeless(now, ask, spare) {
-			b.refuse(now, ask, "more wait before it than get a place in time")
+	if slack := s.slack(now, req); slack >= 0 {
+		if s.queueTooLong(now, req, slack) {
+			s.refuse(now, req, "queue too long for a slot in time")
 			return
 		}
-		b.enqueue(ask)
-		b.noteSaturation(now)
-		b.answer(ask, Verdict{Waiting: true})
+		s.enqueue(req)
+		s.updateSaturation(now)
+		s.decide(req, Verdict{Waiting: true})
 		return
 	}
-	b.setLate(now, ask)
+	s.enqueueLate(now, req)
 }
 
-// outdated tells whether the gateway holds a place for the request that it got
-// after it had given the ask up: the ask came late, by a link that was replaced.
-func (b *Board) outdated(a *Ask) bool {
-	k := key(a.Owner, a.ID)
-	e := b.byRun[k]
+// superseded reports whether the gateway holds a newer slot for the request. The gateway
+// abandoned this slot request, which arrived late over a connection that was replaced.
+func (s *Board) superseded(req *Ask) bool {
+	k := runKey(req.Owner, req.ID)
+	e := s.byRun[k]
 	if e == nil {
 		return false
 	}
 	r := e.runs[k]
-	return r != nil && r.number > a.Number
+	return r != nil && r.number > req.Number
 }
 
-// answer adds a verdict for who asked.
-func (b *Board) answer(ask *Ask, v Verdict) {
-	v.Owner, v.ID, v.Number = ask.Owner, ask.ID, ask.Number
-	b.verdicts = append(b.verdicts, v)
+// decide queues the decision on a request for delivery to its owner.
+func (s *Board) decide(req *Ask, v Verdict) {
+	v.Owner, v.ID, v.Number = req.Owner, req.ID, req.Number
+	s.decisions = append(s.decisions, v)
 }
 
-func (b *Board) slots(service string) int {
+func (s *Board) slots(service string) int {
 	slots := 0
-	for _, e := range b.byService[service] {
+	for _, e := range s.byService[service] {
 		slots += e.Slots
 	}
 	return slots
 }
 
-// Started notes a run's first event, and how many requests its engine said it
-// has, or -1.
-func (b *Board) Started(now time.Time, owner, id string, reported int) {
-	e := b.byRun[key(owner, id)]
+// Started records the first event of a run, and the number of requests that its engine
+// reported, or -1 if it reported none.
+func (s *Board) Started(now time.Time, owner, id string, reported int) {
+	e := s.byRun[runKey(owner, id)]
 	if e == nil {
 		return
 	}
-	if r := e.runs[key(owner, id)]; r != nil {
+	if r := e.runs[runKey(owner, id)]; r != nil {
 		e.start(now, r)
-		e.failures = 0
+		e.failuresInRow = 0
 		if reported >= 0 {
-			e.report(now, reported)
+			e.recordLoad(now, reported)
 		}
 	}
-	b.fill(now, e)
+	s.fill(now, e)
 }
 
-// Ended takes a place back, or withdraws an ask.
-func (b *Board) Ended(now time.Time, owner, id string, end End) {
-	k := key(owner, id)
-	b.withdraw(owner, id, end.Number)
-	e := b.byRun[k]
+// Ended releases a slot or withdraws a waiting request.
+func (s *Board) Ended(now time.Time, owner, id string, end End) {
+	k := runKey(owner, id)
+	s.withdraw(owner, id, end.Number)
+	e := s.byRun[k]
 	if e == nil {
 		return
 	}
@@ -220,7 +222,7 @@
 	if r != nil && end.Number != 0 && end.Number != r.number {
 		return
 	}
-	b.dropRun(owner, k)
+	s.dropRun(owner, k)
 	if r == nil {
 		return
 	}
@@ -228,122 +230,122 @@
 		e.learnOverrun(r, end.Stream)
 		e.learnStream(now, r, end.Stream, end.Tokens)
 	}
-	e.end(now, k, r)
+	e.remove(now, k, r)
 	switch end.Outcome {
 	case Answered:
-		e.failures = 0
-		e.failShare.Succeeded(now)
+		e.failuresInRow = 0
+		e.failureRate.Succeeded(now)
 	case Failed:
-		e.failShare.Failed(now)
+		e.failureRate.Failed(now)
 	case Broken:
-		e.failShare.Broke(now)
+		e.failureRate.Broke(now)
 	case Declined:
-		e.report(now, e.Slots)
+		e.recordLoad(now, e.Slots)
 	case Unreached:
-		e.unreached(now)
+		e.backOff(now)
 	case Left:
 	}
-	b.fill(now, e)
+	s.fill(now, e)
 }
 
-func (b *Board) withdraw(owner, id string, number uint64) {
-	match := func(a *Ask) bool {
-		return a.ID == id && a.Owner == owner && (number == 0 || number == a.Number)
+func (s *Board) withdraw(owner, id string, number uint64) {
+	match := func(req *Ask) bool {
+		return req.ID == id && req.Owner == owner && (number == 0 || number == req.Number)
 	}
-	b.waiting = slices.DeleteFunc(b.waiting, match)
-	b.late = slices.DeleteFunc(b.late, match)
+	s.waiting = slices.DeleteFunc(s.waiting, match)
+	s.late = slices.DeleteFunc(s.late, match)
 }
 
-// DropOwner forgets all of a gateway that is gone: its engines drop what its
-// connections carried.
-func (b *Board) DropOwner(now time.Time, owner string) {
-	b.waiting = slices.DeleteFunc(b.waiting, func(a *Ask) bool { return a.Owner == owner })
-	b.late = slices.DeleteFunc(b.late, func(a *Ask) bool { return a.Owner == owner })
-	for k := range b.byOwner[owner] {
-		e := b.byRun[k]
+// DropOwner removes all requests and runs of a gateway that is down. Its engines cancel
+// the requests of its closed connections.
+func (s *Board) DropOwner(now time.Time, owner string) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(req *Ask) bool { return req.Owner == owner })
+	s.late = slices.DeleteFunc(s.late, func(req *Ask) bool { return req.Owner == owner })
+	for k := range s.byOwner[owner] {
+		e := s.byRun[k]
 		if r := e.runs[k]; r != nil {
-			e.end(now, k, r)
+			e.remove(now, k, r)
 		}
-		b.dropRun(owner, k)
+		s.dropRun(owner, k)
 	}
 }
 
-func (b *Board) addRun(owner, k string, e *engine) {
-	b.byRun[k] = e
-	if b.byOwner[owner] == nil {
-		b.byOwner[owner] = make(map[string]struct{})
+func (s *Board) addRun(owner, k string, e *engine) {
+	s.byRun[k] = e
+	if s.byOwner[owner] == nil {
+		s.byOwner[owner] = make(map[string]struct{})
 	}
-	b.byOwner[owner][k] = struct{}{}
+	s.byOwner[owner][k] = struct{}{}
 }
 
-func (b *Board) dropRun(owner, k string) {
-	delete(b.byRun, k)
-	delete(b.byOwner[owner], k)
-	if len(b.byOwner[owner]) == 0 {
-		delete(b.byOwner, owner)
+func (s *Board) dropRun(owner, k string) {
+	delete(s.byRun, k)
+	delete(s.byOwner[owner], k)
+	if len(s.byOwner[owner]) == 0 {
+		delete(s.byOwner, owner)
 	}
 }
 
-// Tick moves requests that can no longer be in time behind those that can,
-// refuses those that waited for long enough, and tries the others again. It is
-// called every TickEvery.
-func (b *Board) Tick(now time.Time) {
-	if now.Sub(b.tidied) > returnWithin {
-		b.tidied = now
-		b.refusals.expire(now)
+// Tick moves requests that can no longer be served in time to the late queue, refuses late
+// requests whose wait is over, and retries the others. It is to be called regularly while
+// requests wait.
+func (s *Board) Tick(now time.Time) {
+	if now.Sub(s.refusalsExpiredAt) > refusalTTL {
+		s.refusalsExpiredAt = now
+		s.refusals.expire(now)
 	}
-	var turned []*Ask
-	fastest := make(map[string]*engine, len(b.byService))
-	for service := range b.byService {
-		fastest[service] = b.fastest(now, service)
+	var missed []*Ask
+	fastest := make(map[string]*engine, len(s.byService))
+	for service := range s.byService {
+		fastest[service] = s.fastest(now, service)
 	}
-	b.waiting = slices.DeleteFunc(b.waiting, func(a *Ask) bool {
-		if b.spareBy(now, a, fastest[a.Service]) >= 0 {
+	s.waiting = slices.DeleteFunc(s.waiting, func(req *Ask) bool {
+		if s.slackOn(now, req, fastest[req.Service]) >= 0 {
 			return false
 		}
-		turned = append(turned, a)
+		missed = append(missed, req)
 		return true
 	})
-	b.late = slices.DeleteFunc(b.late, func(a *Ask) bool {
-		if now.Before(a.giveUpAt) {
+	s.late = slices.DeleteFunc(s.late, func(req *Ask) bool {
+		if now.Before(req.giveUpAt) {
 			return false
 		}
-		b.refuse(now, a, "no place in time")
+		s.refuse(now, req, "no slot became free in time")
 		return true
 	})
-	for _, a := range turned {
-		b.setLate(now, a)
+	for _, req := range missed {
+		s.enqueueLate(now, req)
 	}
-	b.retryWaiting(now)
-	b.noteSaturation(now)
+	s.fillAll(now)
+	s.updateSaturation(now)
 }
 
-// retryWaiting fills all engines that have room: time alone may have made one
-// fit for a request that waits.
-func (b *Board) retryWaiting(now time.Time) {
-	for _, list := range b.byService {
+// fillAll fills every engine that has a free slot. An engine may become suitable for a
+// waiting request just because time has passed.
+func (s *Board) fillAll(now time.Time) {
+	for _, list := range s.byService {
 		for _, e := range list {
 			if e.running(now) < e.Slots {
-				b.fill(now, e)
+				s.fill(now, e)
 			}
 		}
 	}
 }
 
-// TickEvery is how often Tick is called while requests wait.
+// TickEvery is the interval between ticks while requests wait.
 const TickEvery = 10 * time.Millisecond
 
-// Waiting tells whether requests wait.
-func (b *Board) Waiting() bool { return len(b.waiting)+len(b.late) > 0 }
+// Waiting reports whether any requests are waiting.
+func (s *Board) Waiting() bool { return len(s.waiting)+len(s.late) > 0 }
 
-// Verdicts returns what was decided since the last call.
-func (b *Board) Verdicts() []Verdict {
-	verdicts := b.verdicts
-	b.verdicts = nil
-	return verdicts
+// Verdicts returns the decisions made since the last call.
+func (s *Board) Verdicts() []Verdict {
+	decisions := s.decisions
+	s.decisions = nil
+	return decisions
 }
 
-func key(owner, id string) string { return owner + "/" + id }
+func runKey(owner, id string) string { return owner + "/" + id }
 
 func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
--- a/internal/sched/board/board_bench_test.go
+++ b/internal/sched/board/board_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// BenchmarkDecision places and ends requests on full fleets of engines of eight
-// slots, while others wait; each end gives its place to one of these.
+// BenchmarkDecision submits and releases requests on full fleets of engines with eight
+// slots each, while others wait. Each released slot goes to a waiting request.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []struct{ engines, waiting int }{
 		{93, 200}, {93, 2000}, {186, 200}, {186, 2000}, {600, 200}, {600, 500}, {600, 2000},
@@ -23,44 +23,44 @@
 
 func benchmarkDecision(b *testing.B, count, waiting int) {
 	const slots = 8
-	board := full(count, slots, waiting)
-	now := start.Add(time.Second)
+	full := newFullScheduler(count, slots, waiting)
+	now := startTime.Add(time.Second)
 	for i := 0; b.Loop(); i++ {
 		id := strconv.Itoa(i)
-		a := ask(now, "gateway", id)
+		a := newSlotRequest(now, "gateway", id)
 		a.Due, a.MaxGap = now.Add(time.Hour), 0
-		board.Ask(now, a)
-		board.Ended(now, "gateway", strconv.Itoa(i-count*slots-waiting), endAnswered)
-		for _, v := range board.Verdicts() {
-			board.Started(now, v.Owner, v.ID, -1)
+		full.Ask(now, a)
+		full.Ended(now, "gateway", strconv.Itoa(i-count*slots-waiting), answeredEnd)
+		for _, v := range full.Verdicts() {
+			full.Started(now, v.Owner, v.ID, -1)
 		}
 	}
 }
 
-var endAnswered = board.End{Outcome: board.Answered}
+var answeredEnd = board.End{Outcome: board.Answered}
 
-func full(count, slots, waiting int) *board.Board {
-	filled := board.New()
-	filled.SetUpstreams(start, engines(count, slots))
+func newFullScheduler(count, slots, waiting int) *board.Board {
+	full := board.New()
+	full.SetUpstreams(startTime, newEngines(count, slots))
 	for i := -count*slots - waiting; i < 0; i++ {
-		a := ask(start, "gateway", strconv.Itoa(i))
-		a.Due, a.MaxGap, a.Prompt = start.Add(time.Hour), 0, 1
-		filled.Ask(start, a)
+		a := newSlotRequest(startTime, "gateway", strconv.Itoa(i))
+		a.Due, a.MaxGap, a.Prompt = startTime.Add(time.Hour), 0, 1
+		full.Ask(startTime, a)
 	}
-	for _, v := range filled.Verdicts() {
-		filled.Started(start, v.Owner, v.ID, -1)
+	for _, v := range full.Verdicts() {
+		full.Started(startTime, v.Owner, v.ID, -1)
 	}
-	return filled
+	return full
 }
 
-// BenchmarkTick looks at what waits for a full fleet, as the scheduler does a
-// hundred times a second.
+// BenchmarkTick measures a tick with requests waiting for a full fleet. The scheduler does
+// a hundred ticks per second.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range []struct{ engines, waiting int }{{93, 200}, {600, 500}} {
 		b.Run(fmt.Sprintf("%d engines %d waiting", size.engines, size.waiting), func(b *testing.B) {
-			board := full(size.engines, 8, size.waiting)
+			full := newFullScheduler(size.engines, 8, size.waiting)
 			for b.Loop() {
-				board.Tick(start.Add(time.Second))
+				full.Tick(startTime.Add(time.Second))
 			}
 		})
 	}
--- a/internal/sched/board/broken_test.go
+++ b/internal/sched/board/broken_test.go
@@ -10,14 +10,14 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// The network reset all open connections of some engines in one moment. Callers
-// were refused for two seconds beside engines with nothing to do: each engine had
-// lost some ten streams, which counted as ten failures in a row.
-func TestStreamsThatBreakTogetherAreOneFailure(t *testing.T) {
+// A network fault that resets all connections of an engine at once must not count as one
+// failure per stream. Otherwise the loss of about ten streams looks like ten consecutive
+// failures, and callers are refused for two seconds while engines are idle.
+func TestStreamsBrokenAtOnceCountAsOneFailure(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(2, 12))
+	b.SetUpstreams(startTime, newEngines(2, 12))
 	for i := range 20 {
-		b.Ask(start, ask(start, "gateway", "before"+strconv.Itoa(i)))
+		b.Ask(startTime, newSlotRequest(startTime, "gateway", "before"+strconv.Itoa(i)))
 	}
 	var broken []string
 	for _, v := range b.Verdicts() {
@@ -26,25 +26,25 @@
 		}
 	}
 	require.NotEmpty(t, broken)
-	reset := start.Add(500 * time.Millisecond)
+	resetAt := startTime.Add(500 * time.Millisecond)
 	for _, id := range broken {
-		b.Ended(reset, "gateway", id, board.End{Outcome: board.Broken})
+		b.Ended(resetAt, "gateway", id, board.End{Outcome: board.Broken})
 	}
-	b.Ask(reset, ask(reset, "gateway", "after"))
-	verdicts := b.Verdicts()
-	require.Len(t, verdicts, 1)
-	require.Equal(t, "e0", verdicts[0].Upstream)
+	b.Ask(resetAt, newSlotRequest(resetAt, "gateway", "after"))
+	decisions := b.Verdicts()
+	require.Len(t, decisions, 1)
+	require.Equal(t, "e0", decisions[0].Upstream)
 }
 
-// An engine breaks off every second answer. They come one after the other, so
-// each counts, and the engine is left while another one is sound.
-func TestEngineThatKeepsBreakingOffIsLeft(t *testing.T) {
+// An engine that breaks off every second answer is skipped while another engine is
+// healthy: the failures are apart in time, so each of them counts.
+func TestEngineThatKeepsBreakingStreamsIsSkipped(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(2, 12))
-	now := start
+	b.SetUpstreams(startTime, newEngines(2, 12))
+	now := startTime
 	for i := range 10 {
 		id := "r" + strconv.Itoa(i)
-		a := ask(now, "gateway", id)
+		a := newSlotRequest(now, "gateway", id)
 		a.Exclude = []string{"e1"}
 		b.Ask(now, a)
 		now = now.Add(200 * time.Millisecond)
@@ -57,7 +57,7 @@
 	}
 	b.Verdicts()
 	for i := range 6 {
-		b.Ask(now, ask(now, "gateway", "after"+strconv.Itoa(i)))
+		b.Ask(now, newSlotRequest(now, "gateway", "after"+strconv.Itoa(i)))
 	}
 	for _, v := range b.Verdicts() {
 		require.Equal(t, "e1", v.Upstream)
--- a/internal/sched/board/engine.go
+++ b/internal/sched/board/engine.go
@@ -9,241 +9,245 @@
 )
 
 const (
-	// stalledAfter is how long a first event may be overdue before the engine
-	// counts as stalled: twice the slowest prompt that is granted.
-	stalledAfter = 300 * time.Millisecond
-	// avoidFirst and avoidMost bound how long an engine that refuses
-	// connections is left out; it doubles with each failure in a row.
-	avoidFirst = 200 * time.Millisecond
-	avoidMost  = 2 * time.Second
-	// failWeight is one outcome's weight in an engine's failure share, which
-	// halves in failHalf without new outcomes, so that it is tried again.
-	failWeight = 0.15
-	failHalf   = 3 * time.Second
-	// reportedFor is how long an engine's own count of its runs is believed
-	// while all gateways ask the same scheduler.
-	reportedFor = 400 * time.Millisecond
-	// foreignHalf is the time in which what others were seen to have on an
-	// engine halves while they ask other schedulers, and foreignWeight the
-	// weight of one more sight of it. Without a memory, each scheduler would
-	// fill the engine anew whenever its last sight is old.
-	foreignHalf   = 1500 * time.Millisecond
-	foreignWeight = 0.4
+	// stallTimeout is how long a first event may be overdue before the engine counts as
+	// stalled: twice the time of the slowest prompt that is granted a slot.
+	stallTimeout = 300 * time.Millisecond
+	// minBackoff and maxBackoff bound how long an engine that refuses connections is
+	// skipped. The time doubles with each consecutive failure.
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// failureWeight is the weight of one outcome in an engine's failure rate. Without new
+	// outcomes the rate halves every failureHalfLife, so that the engine is tried again.
+	failureWeight   = 0.15
+	failureHalfLife = 3 * time.Second
+	// reportMaxAge is how long an engine's reported number of requests is used while all
+	// gateways use the same scheduler.
+	reportMaxAge = 400 * time.Millisecond
+	// externalHalfLife is the half-life of the estimated load from other schedulers while
+	// gateways are split among several, and externalWeight is the weight of a new report.
+	// Without a decaying estimate, each scheduler would fill the engine again as soon as
+	// its last report expired.
+	externalHalfLife = 1500 * time.Millisecond
+	externalWeight   = 0.4
 )
 
-// run is one request that an engine has.
+// run is a request assigned to an engine.
 type run struct {
 	owner, id string
-	// number tells the place apart from others of the same request.
-	number     uint64
-	prompt     int
-	output     int
-	granted    time.Time
-	expected   time.Time
-	started    bool
-	startedAt  time.Time
-	runsBefore float64
-	readBefore float64
-	// units is the reading of the prompt in milliseconds of an ordinary engine;
-	// alone tells that nothing else was to be read when the run was granted, as
-	// the engine's grant of that number.
-	units float64
-	alone bool
-	grant int
-	// adopted runs were granted by another scheduler. What shared the engine
-	// with them is not known, so they tell no speed.
+	// number distinguishes this slot from others of the same request.
+	number           uint64
+	prompt           int
+	output           int
+	grantedAt        time.Time
+	expectedAt       time.Time
+	started          bool
+	startedAt        time.Time
+	runMsAtStart     float64
+	prefillMsAtStart float64
+	// prefillMs is the prefill time of the prompt on an ordinary engine. solePrefill is
+	// set if no other prefill was pending when the run was assigned, and grantIndex is the
+	// engine's grantCount at that time.
+	prefillMs   float64
+	solePrefill bool
+	grantIndex  int
+	// adopted runs were assigned by another scheduler. It is not known which other runs
+	// shared the engine with them, so they are not used to learn its speed.
 	adopted bool
 }
 
-// engine is what the board knows of one engine.
+// engine is the scheduling state of one engine.
 type engine struct {
 	Upstream
-	// slowness scales the times of an ordinary engine, and reading those of
-	// prompts besides.
+	// slowness scales the latencies of an ordinary engine. Prefill is scaled by the
+	// service's prefillFactor as well.
 	slowness estimate
-	family   *family
+	timing   *serviceTiming
 	runs     map[string]*run
-	// grants counts the places given.
-	grants int
-	// backlog is the number of prompt tokens granted and not yet read, and
-	// readUntil is when they should be.
-	backlog   int
-	readUntil time.Time
-	// runsArea is the integral of running requests over milliseconds, and
-	// readUnits the prefill granted in milliseconds of an ordinary engine.
-	// They tell what a stream shared its engine with.
-	runsArea  float64
-	readUnits float64
-	areaAt    time.Time
-
-	// lastStart is when a first event came last.
-	lastStart time.Time
-
-	failures  int
-	avoid     time.Time
-	failShare failure.Share
-
-	// foreign is how many requests the engine said it has beyond the board's;
-	// split tells that other schedulers use it too.
-	foreign   float64
-	foreignAt time.Time
-	split     bool
-}
-
-func newEngine(now time.Time, u Upstream, family *family) *engine {
+	// grantCount is the number of runs assigned so far.
+	grantCount int
+	// prefillBacklog is the number of assigned prompt tokens that are not yet prefilled,
+	// and prefillUntil is when their prefill should be done.
+	prefillBacklog int
+	prefillUntil   time.Time
+	// runMs is the integral of the number of running requests over time, in milliseconds,
+	// and assignedPrefillMs is the total prefill time assigned, in milliseconds of an ordinary
+	// engine. They show what a stream shared its engine with.
+	runMs             float64
+	assignedPrefillMs float64
+	runMsAt           time.Time
+
+	// lastFirstEvent is when the engine last sent a first event.
+	lastFirstEvent time.Time
+
+	failuresInRow int
+	backoffUntil  time.Time
+	failureRate   failure.Share
+
+	// external is the number of requests that the engine reported beyond those of this
+	// scheduler. shared is set if other schedulers use the engine too.
+	external   float64
+	externalAt time.Time
+	shared     bool
+}
+
+func newEngine(now time.Time, u Upstream, timing *serviceTiming) *engine {
 	return &engine{
-		Upstream: u, slowness: estimate{factor: 1}, family: family, runs: make(map[string]*run), areaAt: now, readUntil: now,
-		failShare: failure.New(failWeight, failHalf),
+		Upstream: u, slowness: estimate{factor: 1}, timing: timing, runs: make(map[string]*run), runMsAt: now, prefillUntil: now,
+		failureRate: failure.New(failureWeight, failureHalfLife),
 	}
 }
 
-// account advances the integral of running requests.
-func (e *engine) account(now time.Time) {
-	if elapsed := now.Sub(e.areaAt); elapsed > 0 {
-		e.runsArea += float64(len(e.runs)) * ms(elapsed)
-		e.areaAt = now
+// advanceRunMs updates runMs up to now.
+func (e *engine) advanceRunMs(now time.Time) {
+	if elapsed := now.Sub(e.runMsAt); elapsed > 0 {
+		e.runMs += float64(len(e.runs)) * ms(elapsed)
+		e.runMsAt = now
 	}
 }
 
-// running returns how many requests the engine has, those included that others
-// sent it and that it reported of late.
+// running returns the number of requests on the engine, including those of others that it
+// reported recently.
 func (e *engine) running(now time.Time) int {
-	return len(e.runs) + int(math.Round(e.others(now)))
+	return len(e.runs) + int(math.Round(e.externalLoad(now)))
 }
 
-// others returns how many requests the engine has beyond the board's.
-func (e *engine) others(now time.Time) float64 {
-	if e.foreign == 0 {
+// externalLoad returns the estimated number of requests on the engine that this scheduler
+// did not assign.
+func (e *engine) externalLoad(now time.Time) float64 {
+	if e.external == 0 {
 		return 0
 	}
-	age := now.Sub(e.foreignAt)
-	if e.split {
-		return e.foreign * math.Exp2(-age.Seconds()/foreignHalf.Seconds())
+	age := now.Sub(e.externalAt)
+	if e.shared {
+		return e.external * math.Exp2(-age.Seconds()/externalHalfLife.Seconds())
 	}
-	if age < reportedFor {
-		return e.foreign
+	if age < reportMaxAge {
+		return e.external
 	}
 	return 0
 }
 
-// report takes the engine's own count of what it has.
-func (e *engine) report(now time.Time, count int) {
-	seen := float64(max(0, count-len(e.runs)))
-	if e.split {
-		seen = (1-foreignWeight)*e.others(now) + foreignWeight*seen
+// recordLoad updates the external load from the number of requests that the engine
+// reported.
+func (e *engine) recordLoad(now time.Time, count int) {
+	external := float64(max(0, count-len(e.runs)))
+	if e.shared {
+		external = (1-externalWeight)*e.externalLoad(now) + externalWeight*external
 	}
-	e.foreign, e.foreignAt = seen, now
+	e.external, e.externalAt = external, now
 }
 
-// setSplit tells what part of the gateways asks other schedulers.
-func (e *engine) setSplit(now time.Time, others float64) {
-	split := others > 0
-	if split && !e.split {
-		e.foreign, e.foreignAt = others*float64(e.Slots), now
+// setShared sets the share of the gateways that may use other schedulers.
+func (e *engine) setShared(now time.Time, unheardShare float64) {
+	shared := unheardShare > 0
+	if shared && !e.shared {
+		e.external, e.externalAt = unheardShare*float64(e.Slots), now
 	}
-	e.split = split
+	e.shared = shared
 }
 
-// wait returns how long the prompts that are granted keep the engine reading.
-func (e *engine) wait(now time.Time) time.Duration {
-	return max(0, e.readUntil.Sub(now))
+// prefillWait returns how long the engine is still busy with the prefill of assigned
+// prompts.
+func (e *engine) prefillWait(now time.Time) time.Duration {
+	return max(0, e.prefillUntil.Sub(now))
 }
 
-// firstEvent returns how long a prompt's first event takes if it is sent now.
+// firstEvent returns the estimated time to the first event of a prompt sent now.
 func (e *engine) firstEvent(now time.Time, prompt int) time.Duration {
 	running := e.running(now)
 	step := fromMs(profile.StepTime(running+1) * e.slowness.factor)
-	return e.family.fixed + e.wait(now) + e.readTime(profile.Prefill(prompt, running)) + step
+	return e.timing.fixedLatency + e.prefillWait(now) + e.prefillTime(profile.Prefill(prompt, running)) + step
 }
 
-// alone returns how long a prompt's first event takes if the engine is idle.
-func (e *engine) alone(prompt int) time.Duration {
+// idleFirstEvent returns the time to the first event of a prompt on the idle engine.
+func (e *engine) idleFirstEvent(prompt int) time.Duration {
 	step := fromMs(profile.StepTime(1) * e.slowness.factor)
-	return e.family.fixed + e.readTime(profile.Prefill(prompt, 1)) + step
+	return e.timing.fixedLatency + e.prefillTime(profile.Prefill(prompt, 1)) + step
 }
 
-// decode returns how long the full engine takes to generate the tokens.
-func (e *engine) decode(tokens float64) time.Duration {
+// decodeTime returns how long the engine takes to generate the tokens when all slots are
+// in use.
+func (e *engine) decodeTime(tokens float64) time.Duration {
 	return fromMs(tokens * profile.StepTime(e.Slots) * e.slowness.factor)
 }
 
-// grant adds a run.
-func (e *engine) grant(now time.Time, r *run) {
-	e.account(now)
-	e.grants++
-	r.units, r.alone, r.grant = profile.Prefill(r.prompt, len(e.runs)), e.wait(now) == 0, e.grants
-	r.expected = now.Add(e.firstEvent(now, r.prompt))
-	e.readUntil = now.Add(e.wait(now) + e.readTime(r.units))
-	e.readUnits += r.units
-	e.backlog += r.prompt
+// assign adds a run whose prompt is not prefilled yet.
+func (e *engine) assign(now time.Time, r *run) {
+	e.advanceRunMs(now)
+	e.grantCount++
+	r.prefillMs, r.solePrefill, r.grantIndex = profile.Prefill(r.prompt, len(e.runs)), e.prefillWait(now) == 0, e.grantCount
+	r.expectedAt = now.Add(e.firstEvent(now, r.prompt))
+	e.prefillUntil = now.Add(e.prefillWait(now) + e.prefillTime(r.prefillMs))
+	e.assignedPrefillMs += r.prefillMs
+	e.prefillBacklog += r.prompt
 	e.runs[r.owner+"/"+r.id] = r
 }
 
-// adopt takes in a run of another scheduler whose prompt is read. Counted as if
-// it were still to be read, it would make the streams beside it look as if they
-// shared their engine with more than they did, and the engine twice as fast.
+// adopt adds a run that another scheduler assigned and whose prefill is done. If its
+// prompt counted as still pending, concurrent streams would seem to share the engine with
+// more work than they did, and the engine would seem up to twice as fast as it is.
 func (e *engine) adopt(now time.Time, r *run) {
-	e.account(now)
-	r.expected, r.started, r.startedAt = now, true, now
+	e.advanceRunMs(now)
+	r.expectedAt, r.started, r.startedAt = now, true, now
 	e.runs[r.owner+"/"+r.id] = r
 }
 
-// start notes a run's first event.
+// start records the first event of a run.
 func (e *engine) start(now time.Time, r *run) {
 	if r.started {
 		return
 	}
-	e.account(now)
-	e.learnFirst(now, r)
+	e.advanceRunMs(now)
+	e.learnFirstEvent(now, r)
 	r.started, r.startedAt = true, now
-	e.lastStart = now
-	r.runsBefore, r.readBefore = e.runsArea, e.readUnits
-	e.read(now, r)
+	e.lastFirstEvent = now
+	r.runMsAtStart, r.prefillMsAtStart = e.runMs, e.assignedPrefillMs
+	e.finishPrefill(now, r)
 }
 
-// read notes that a run's prompt is read, or is not to be read any more.
-func (e *engine) read(now time.Time, r *run) {
-	e.backlog = max(0, e.backlog-r.prompt)
-	rest := 0.0
+// finishPrefill removes a run's prompt from the backlog once it is prefilled or canceled.
+func (e *engine) finishPrefill(now time.Time, r *run) {
+	e.prefillBacklog = max(0, e.prefillBacklog-r.prompt)
+	remainingMs := 0.0
 	for _, other := range e.runs {
 		if !other.started && other != r {
-			rest += profile.Prefill(other.prompt, len(e.runs))
+			remainingMs += profile.Prefill(other.prompt, len(e.runs))
 		}
 	}
-	limit := now.Add(e.readTime(rest))
-	if limit.Before(e.readUntil) {
-		e.readUntil = limit
+	until := now.Add(e.prefillTime(remainingMs))
+	if until.Before(e.prefillUntil) {
+		e.prefillUntil = until
 	}
 }
 
-// end removes a run.
-func (e *engine) end(now time.Time, key string, r *run) {
-	e.account(now)
+// remove removes a run and its pending prefill.
+func (e *engine) remove(now time.Time, key string, r *run) {
+	e.advanceRunMs(now)
 	delete(e.runs, key)
 	if !r.started {
-		e.read(now, r)
+		e.finishPrefill(now, r)
 	}
 }
 
-// stalled tells whether the engine seems dead: a first event is long overdue,
-// and nothing else has started since it was due. An engine that keeps a part of
-// its requests without an answer goes on serving the others.
+// stalled reports whether the engine seems dead: a first event is long overdue, and no
+// other run has started since it was due. An engine that leaves some requests without an
+// answer while it serves the others is not stalled.
 func (e *engine) stalled(now time.Time) bool {
 	for _, r := range e.runs {
-		if !r.started && now.Sub(r.expected) > stalledAfter && e.lastStart.Before(r.expected) {
+		if !r.started && now.Sub(r.expectedAt) > stallTimeout && e.lastFirstEvent.Before(r.expectedAt) {
 			return true
 		}
 	}
 	return false
 }
 
-// unreached leaves the engine out for a while.
-func (e *engine) unreached(now time.Time) {
-	if now.Before(e.avoid) {
+// backOff skips the engine for a while after it refused a connection.
+func (e *engine) backOff(now time.Time) {
+	if now.Before(e.backoffUntil) {
 		return
 	}
-	e.avoid = now.Add(min(avoidMost, avoidFirst<<min(e.failures, 4)))
-	e.failures++
+	e.backoffUntil = now.Add(min(maxBackoff, minBackoff<<min(e.failuresInRow, 4)))
+	e.failuresInRow++
 }
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/sched/board/fill.go
+++ b/internal/sched/board/fill.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// scanMost bounds the waiting requests that are looked at for one engine.
-const scanMost = 256
+// maxScanned is the maximum number of waiting requests that are considered for one engine.
+const maxScanned = 256
 
-// fill gives an engine that has got room what waits: first what can be in time,
-// then, if nothing of that is left, what is late. One that ends its runs and gets
-// no more work is not filled.
-func (b *Board) fill(now time.Time, e *engine) {
-	if b.engines[e.ID] != e {
+// fill assigns waiting requests to an engine with free slots: requests that can be served
+// in time first, and late ones only if none of those is left. An engine that is no longer
+// listed gets none.
+func (s *Board) fill(now time.Time, e *engine) {
+	if s.engines[e.ID] != e {
 		return
 	}
-	usual := b.usualFailing(now, e.Service)
-	b.waiting = b.fillFrom(now, e, b.waiting, false, usual)
-	if len(b.waiting) == 0 {
-		b.late = b.fillFrom(now, e, b.late, true, usual)
+	baseline := s.baselineFailureRate(now, e.Service)
+	s.waiting = s.fillFrom(now, e, s.waiting, false, baseline)
+	if len(s.waiting) == 0 {
+		s.late = s.fillFrom(now, e, s.late, true, baseline)
 	}
 }
 
-func (b *Board) fillFrom(now time.Time, e *engine, queue []*Ask, late bool, usual float64) []*Ask {
+func (s *Board) fillFrom(now time.Time, e *engine, queue []*Ask, late bool, baseline float64) []*Ask {
 	for e.running(now) < e.Slots {
-		at := b.next(now, e, queue, late, usual)
-		if at < 0 {
+		index := s.nextFor(now, e, queue, late, baseline)
+		if index < 0 {
 			return queue
 		}
 		if !late {
-			b.notePace(now, queue[at])
+			s.recordQueueGrant(now, queue[index])
 		}
-		b.grant(now, e, queue[at])
-		queue = slices.Delete(queue, at, at+1)
+		s.grant(now, e, queue[index])
+		queue = slices.Delete(queue, index, index+1)
 	}
 	return queue
 }
 
-// next returns the request of a queue that the engine gets, or -1: the first in
-// its order that the engine suits. A request of a lower tier is chosen only if
-// the engine suits none of a higher one.
-func (b *Board) next(now time.Time, e *engine, queue []*Ask, late bool, usual float64) int {
-	for i, a := range queue[:min(len(queue), scanMost)] {
-		if a.Service != e.Service {
+// nextFor returns the index of the first request in the queue for which the engine is
+// suitable, or -1. A request of a lower tier is chosen only if the engine is suitable for
+// none of a higher one.
+func (s *Board) nextFor(now time.Time, e *engine, queue []*Ask, late bool, baseline float64) int {
+	for i, req := range queue[:min(len(queue), maxScanned)] {
+		if req.Service != e.Service {
 			continue
 		}
-		if _, ok := b.cost(now, e, a, late, usual); ok {
+		if _, ok := s.cost(now, e, req, late, baseline); ok {
 			return i
 		}
 	}
--- a/internal/sched/board/gone_test.go
+++ b/internal/sched/board/gone_test.go
@@ -9,23 +9,23 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// Guards against a request that gets a place on an engine that is gone: the end
-// of a run there made room, which a waiting request was given.
-func TestEngineThatIsGoneGetsNothing(t *testing.T) {
+// Guards against assigning a waiting request to an unlisted engine when one of its runs
+// ends and frees a slot.
+func TestUnlistedEngineIsAssignedNothing(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(2, 1))
+	b.SetUpstreams(startTime, newEngines(2, 1))
 	for i := range 2 {
-		b.Ask(start, ask(start, "gateway", "old"+strconv.Itoa(i)))
+		b.Ask(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
 	}
-	verdicts := b.Verdicts()
-	require.Equal(t, 2, granted(verdicts))
-	b.Ask(start, ask(start, "gateway", "new"))
+	decisions := b.Verdicts()
+	require.Equal(t, 2, countGranted(decisions))
+	b.Ask(startTime, newSlotRequest(startTime, "gateway", "new"))
 
-	b.SetUpstreams(start, engines(1, 1))
-	for _, v := range verdicts {
+	b.SetUpstreams(startTime, newEngines(1, 1))
+	for _, v := range decisions {
 		if v.Upstream == "e1" {
-			b.Ended(start, "gateway", v.ID, board.End{Outcome: board.Answered})
+			b.Ended(startTime, "gateway", v.ID, board.End{Outcome: board.Answered})
 		}
 	}
-	require.Zero(t, granted(b.Verdicts()))
+	require.Zero(t, countGranted(b.Verdicts()))
 }
--- a/internal/sched/board/late.go
+++ b/internal/sched/board/late.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// lateHold is how long after its arrival a request that can no longer be
-	// in time may wait for a place that nobody else needs. Callers leave a
-	// silent stream after two seconds.
-	lateHold = 1200 * time.Millisecond
-	// lateReserve is the part of an engine's slots that late requests leave
-	// free for those that can be in time.
-	lateReserve = 0.17
-	// latePart bounds the late requests that wait, as a part of all slots:
-	// what is beyond it could not be served within lateHold.
-	latePart = 0.25
+	// maxLateWait is how long after its arrival a late request, one that can no longer be
+	// served in time, may wait for a spare slot. Callers close a stream that has been
+	// silent for two seconds.
+	maxLateWait = 1200 * time.Millisecond
+	// lateSlotReserve is the share of an engine's slots that is kept free of late
+	// requests.
+	lateSlotReserve = 0.17
+	// maxLateShare limits the number of waiting late requests, as a share of all slots.
+	// More could not be served within maxLateWait.
+	maxLateShare = 0.25
 )
 
-// setLate keeps a request that cannot be in time for a place that nobody else
-// needs, or refuses the least urgent one if there are too many. While all
-// places go to requests that can be in time, holding one that cannot would only
-// keep its caller from coming back at a better moment.
-func (b *Board) setLate(now time.Time, ask *Ask) {
-	if b.saturatedFor(now) > saturatedAfter {
-		b.refuse(now, ask, "no place in time, and others wait that can be")
+// enqueueLate queues a late request for a spare slot, or refuses the last one in the order
+// if the queue is full. While all slots go to requests that can be served in time, it
+// refuses the request at once: holding it would only keep its caller from retrying at a
+// better time.
+func (s *Board) enqueueLate(now time.Time, req *Ask) {
+	if s.saturatedFor(now) > saturationThreshold {
+		s.refuse(now, req, "too late to be served in time, and timely requests are waiting")
 		return
 	}
-	at, _ := slices.BinarySearchFunc(b.late, ask, compareAsks)
-	b.late = slices.Insert(b.late, at, ask)
-	if len(b.late) > b.lateMost(ask.Service) {
-		last := b.late[len(b.late)-1]
-		b.late = b.late[:len(b.late)-1]
-		b.refuse(now, last, "too many wait")
+	at, _ := slices.BinarySearchFunc(s.late, req, compareRequests)
+	s.late = slices.Insert(s.late, at, req)
+	if len(s.late) > s.maxLate(req.Service) {
+		last := s.late[len(s.late)-1]
+		s.late = s.late[:len(s.late)-1]
+		s.refuse(now, last, "too many late requests waiting")
 		return
 	}
-	if b.place(now, ask, true) {
-		b.late = slices.DeleteFunc(b.late, func(x *Ask) bool { return x == ask })
+	if s.tryGrant(now, req, true) {
+		s.late = slices.DeleteFunc(s.late, func(other *Ask) bool { return other == req })
 		return
 	}
-	b.answer(ask, Verdict{Waiting: true})
+	s.decide(req, Verdict{Waiting: true})
 }
 
-func (b *Board) lateMost(service string) int {
-	return int(latePart * float64(b.slots(service)))
+func (s *Board) maxLate(service string) int {
+	return int(maxLateShare * float64(s.slots(service)))
 }
--- a/internal/sched/board/learned.go
+++ b/internal/sched/board/learned.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// slownessLeast and slownessMost bound what is believed of an engine.
-	slownessLeast = 0.1
-	slownessMost  = 30
-	// evidenceMost bounds what is remembered, in pieces of the best evidence.
-	evidenceMost = 2.0
-	// learnTokens is the shortest stream that tells a speed: its first and
-	// last event are each off by a step or two.
-	learnTokens = 12
-	// learnLong is the length at which a stream counts half of what a very long
-	// one does: the shorter it is, the more the prompts that happen to be read
-	// beside it, and their place in time, decide how long it takes.
-	learnLong = 60
-	// learnRead is the reading time, in milliseconds of an ordinary engine, at
-	// which a first event tells as much of the reading as of all else in it.
-	learnRead = 20.0
-	// firstLeast and firstMost bound the weight of one first event: the first
-	// hundred of a service count most. readOff, a part of the reading, and
-	// fixedOff, in milliseconds, bound by how much one may differ from what was
-	// expected.
-	firstLeast = 0.01
-	firstMost  = 0.2
-	readOff    = 0.5
-	fixedOff   = 20.0
-	// readingLeast and readingMost bound by how much reading is slower than
-	// decoding tells. Never less: the room that it leaves before the due moment
-	// is worth more than places that are just in time.
-	readingLeast = 1.0
-	readingMost  = 4.0
-	// fixedMost bounds what is believed of the time to a first event that is no
-	// engine's work.
-	fixedMost = 400 * time.Millisecond
+	// minSlowness and maxSlowness bound the estimated slowness of an engine.
+	minSlowness = 0.1
+	maxSlowness = 30
+	// maxEvidence limits the accumulated weight of past observations, in units of a
+	// full-weight observation.
+	maxEvidence = 2.0
+	// minStreamTokens is the length of the shortest stream used to learn a speed. Its
+	// first and last event are each off by a step or two.
+	minStreamTokens = 12
+	// halfWeightTokens is the stream length that gives half of the full weight. The
+	// duration of a short stream depends more on the prompts that are prefilled meanwhile,
+	// and on when that happens.
+	halfWeightTokens = 60
+	// halfWeightPrefillMs is the prefill time, in milliseconds of an ordinary engine, at
+	// which a first event says as much about the prefill as about the fixed latency.
+	halfWeightPrefillMs = 20.0
+	// minFirstEventWeight and maxFirstEventWeight bound the weight of one first event: the
+	// first hundred of a service count most. maxPrefillDeviation, as a share of the
+	// prefill time, and maxFixedDeviationMs bound the deviation of one first event from
+	// the expected time.
+	minFirstEventWeight = 0.01
+	maxFirstEventWeight = 0.2
+	maxPrefillDeviation = 0.5
+	maxFixedDeviationMs = 20.0
+	// minPrefillFactor and maxPrefillFactor bound by how much prefill is slower than the
+	// decoding speed suggests. The factor is never below 1: the margin that this leaves
+	// before the deadline is worth more than slots that would just meet it.
+	minPrefillFactor = 1.0
+	maxPrefillFactor = 4.0
+	// maxFixedLatency limits the part of the first-event latency that does not depend on
+	// the engine.
+	maxFixedLatency = 400 * time.Millisecond
 )
 
-// estimate is a factor learned from evidence of uneven weight. The first pieces
-// count most; later ones move it the less, the lighter they are.
+// estimate is a factor learned from observations of different weights. The first ones
+// count most; later ones move it in proportion to their weight.
 type estimate struct {
 	factor   float64
 	evidence float64
@@ -50,73 +51,76 @@
 
 func (e *estimate) known() bool { return e.evidence > 0 }
 
-func (e *estimate) see(factor, weight float64) {
+func (e *estimate) observe(factor, weight float64) {
 	if weight <= 0 || factor <= 0 {
 		return
 	}
-	e.evidence = min(e.evidence+weight, evidenceMost)
+	e.evidence = min(e.evidence+weight, maxEvidence)
 	next := e.factor * math.Pow(factor/e.factor, weight/e.evidence)
-	e.factor = min(max(next, slownessLeast), slownessMost)
+	e.factor = min(max(next, minSlowness), maxSlowness)
 }
 
-// family is what the engines of a service have in common, whatever their speed: by
-// how much reading is slower than decoding tells, the time to a first event that
-// is no engine's work, and how far streams outrun their plan.
-type family struct {
-	reading float64
-	fixed   time.Duration
-	// seen counts the first events that these two were learned from.
-	seen    int
+// serviceTiming is what the engines of a service have in common at any speed: by how much
+// prefill is slower than the decoding speed suggests, the part of the first-event latency
+// that does not depend on the engine, and how far streams overrun their planned time.
+type serviceTiming struct {
+	prefillFactor float64
+	fixedLatency  time.Duration
+	// samples is the number of first events from which prefillFactor and fixedLatency were
+	// learned.
+	samples int
 	overrun overrun
 }
 
-func newFamily() *family { return &family{reading: 1, fixed: profile.Fixed} }
+func newServiceTiming() *serviceTiming {
+	return &serviceTiming{prefillFactor: 1, fixedLatency: profile.Fixed}
+}
 
-// see takes by how much a first event was later than expected. The heavier the
-// prompt, the more of it is put down to the reading.
-func (f *family) see(off, read time.Duration, heavy float64) {
-	f.seen++
-	weight := min(max(1/float64(f.seen), firstLeast), firstMost)
-	f.reading *= 1 + weight*heavy*bounded(ms(off)/max(1, ms(read)), readOff)
-	f.reading = min(max(f.reading, readingLeast), readingMost)
-	f.fixed += fromMs(weight * (1 - heavy) * bounded(ms(off), fixedOff))
-	f.fixed = min(max(0, f.fixed), fixedMost)
+// observe takes the deviation of a first event from its expected time. The larger the
+// share of prefill, the more of the deviation is attributed to it.
+func (t *serviceTiming) observe(deviation, prefill time.Duration, prefillShare float64) {
+	t.samples++
+	weight := min(max(1/float64(t.samples), minFirstEventWeight), maxFirstEventWeight)
+	t.prefillFactor *= 1 + weight*prefillShare*clamp(ms(deviation)/max(1, ms(prefill)), maxPrefillDeviation)
+	t.prefillFactor = min(max(t.prefillFactor, minPrefillFactor), maxPrefillFactor)
+	t.fixedLatency += fromMs(weight * (1 - prefillShare) * clamp(ms(deviation), maxFixedDeviationMs))
+	t.fixedLatency = min(max(0, t.fixedLatency), maxFixedLatency)
 }
 
-// learnStream takes how long a stream's tokens took.
+// learnStream updates the slowness from the duration of a stream.
 func (e *engine) learnStream(now time.Time, r *run, took time.Duration, tokens int) {
-	lived := ms(now.Sub(r.startedAt))
-	if r.adopted || tokens < learnTokens || lived <= 0 || took <= 0 {
+	elapsed := ms(now.Sub(r.startedAt))
+	if r.adopted || tokens < minStreamTokens || elapsed <= 0 || took <= 0 {
 		return
 	}
-	e.account(now)
-	beside := (e.runsArea - r.runsBefore) / lived
-	decoded := float64(tokens) * (profile.Step + profile.StepPerRun*beside)
-	ordinary := decoded + (e.readUnits-r.readBefore)*e.family.reading
-	weight := decoded / ordinary * float64(tokens) / float64(tokens+learnLong)
-	e.slowness.see(ms(took)/ordinary, weight)
+	e.advanceRunMs(now)
+	concurrent := (e.runMs - r.runMsAtStart) / elapsed
+	decodeMs := float64(tokens) * (profile.Step + profile.StepPerRun*concurrent)
+	ordinaryMs := decodeMs + (e.assignedPrefillMs-r.prefillMsAtStart)*e.timing.prefillFactor
+	weight := decodeMs / ordinaryMs * float64(tokens) / float64(tokens+halfWeightTokens)
+	e.slowness.observe(ms(took)/ordinaryMs, weight)
 }
 
-// learnFirst takes how long a prompt's first event took, if nothing else was to
-// be read meanwhile. Engines of one generation decode as fast as those of another
-// and read half as fast; by the streams alone a long prompt's first event would
-// be expected too early.
-func (e *engine) learnFirst(now time.Time, r *run) {
-	if r.adopted || !r.alone || r.grant != e.grants || !e.slowness.known() {
+// learnFirstEvent updates the service's timing from the time to the first event, if no
+// other prefill was pending meanwhile. Some hardware generations decode as fast as others
+// but prefill half as fast; predicted from the decoding speed alone, the first event of a
+// long prompt would be expected too early.
+func (e *engine) learnFirstEvent(now time.Time, r *run) {
+	if r.adopted || !r.solePrefill || r.grantIndex != e.grantCount || !e.slowness.known() {
 		return
 	}
-	read := e.readTime(r.units)
+	prefill := e.prefillTime(r.prefillMs)
 	step := fromMs(profile.StepTime(len(e.runs)) * e.slowness.factor)
-	off := now.Sub(r.granted) - e.family.fixed - step - read
-	e.family.see(off, read, r.units/(r.units+learnRead))
+	deviation := now.Sub(r.grantedAt) - e.timing.fixedLatency - step - prefill
+	e.timing.observe(deviation, prefill, r.prefillMs/(r.prefillMs+halfWeightPrefillMs))
 }
 
-// bounded keeps one odd first event from moving an estimate by more than many
-// ordinary ones do: delays on the way are rare and long.
-func bounded(x, most float64) float64 { return min(max(x, -most), most) }
+// clamp limits x to ±limit, so that one outlier does not move an estimate by more than
+// many ordinary observations. Network delays are rare and long.
+func clamp(x, limit float64) float64 { return min(max(x, -limit), limit) }
 
-// readTime is how long the engine reads what an ordinary one reads in so many
-// milliseconds.
-func (e *engine) readTime(units float64) time.Duration {
-	return fromMs(units * e.slowness.factor * e.family.reading)
+// prefillTime returns how long the engine takes for a prefill that takes the given number
+// of milliseconds on an ordinary one.
+func (e *engine) prefillTime(ordinaryMs float64) time.Duration {
+	return fromMs(ordinaryMs * e.slowness.factor * e.timing.prefillFactor)
 }
--- a/internal/sched/board/memory.go
+++ b/internal/sched/board/memory.go
@@ -7,58 +7,59 @@
 	"time"
 )
 
-// Memory is what a scheduler learned and another needs seconds to learn anew.
+// Memory is what a scheduler has learned and another scheduler would need seconds to learn
+// again.
 type Memory struct {
 	Speeds   []Speed
 	Services []ServiceMemory
 }
 
-// ServiceMemory is what was learned of all engines of a service.
+// ServiceMemory is what was learned about all engines of a service.
 type ServiceMemory struct {
 	Name string
-	// Overrun is by how much streams may outrun their plan, 0 if none ended yet.
+	// Overrun is by what factor streams may overrun their planned time, 0 if none has
+	// ended yet.
 	Overrun float64
-	// Reading is by how much engines read slower than they decode, and Fixed the
-	// time to a first event that is no engine's work.
+	// Reading is by what factor prefill is slower than the decoding speed suggests, and
+	// Fixed the part of the first-event latency that does not depend on the engine.
 	Reading float64
 	Fixed   time.Duration
 }
 
-// Memory returns what this board learned, in the order of ids and names.
-func (b *Board) Memory() Memory {
-	m := Memory{Speeds: b.Speeds()}
-	for name, f := range b.families {
-		s := ServiceMemory{Name: name, Reading: f.reading, Fixed: f.fixed}
-		if f.overrun.known {
-			s.Overrun = f.overrun.ratio()
+// Memory returns what was learned, sorted by ID and name.
+func (s *Board) Memory() Memory {
+	m := Memory{Speeds: s.Speeds()}
+	for name, timing := range s.timings {
+		service := ServiceMemory{Name: name, Reading: timing.prefillFactor, Fixed: timing.fixedLatency}
+		if timing.overrun.known {
+			service.Overrun = timing.overrun.ratio()
 		}
-		m.Services = append(m.Services, s)
+		m.Services = append(m.Services, service)
 	}
 	slices.SortFunc(m.Services, func(x, y ServiceMemory) int { return cmp.Compare(x.Name, y.Name) })
 	return m
 }
 
-// Take believes what the scheduler tells, while this board does not schedule.
-// Without it the next scheduler plans streams that must end in time with the
-// room of one that has seen none end, and with speeds of when it scheduled last.
-func (b *Board) Take(m Memory) {
-	for _, s := range m.Speeds {
-		b.recalled[s.ID] = s
-		if e := b.engines[s.ID]; e != nil {
-			e.believe(s)
+// Take applies what the active scheduler has learned, while this one is on standby.
+// Without it, after a takeover it would plan streams that must end in time with the
+// default overrun and with the speeds of the last time it was active.
+func (s *Board) Take(m Memory) {
+	for _, speed := range m.Speeds {
+		s.restoredSpeeds[speed.ID] = speed
+		if e := s.engines[speed.ID]; e != nil {
+			e.restoreSpeed(speed)
 		}
 	}
-	for _, s := range m.Services {
-		f := b.family(s.Name)
-		f.reading = min(max(s.Reading, readingLeast), readingMost)
-		f.fixed = min(max(s.Fixed, 0), fixedMost)
-		f.seen = max(f.seen, takenAs)
-		if s.Overrun >= overrunLeast {
-			f.overrun = overrun{log: math.Log(min(s.Overrun, overrunMost)), known: true}
+	for _, service := range m.Services {
+		timing := s.timing(service.Name)
+		timing.prefillFactor = min(max(service.Reading, minPrefillFactor), maxPrefillFactor)
+		timing.fixedLatency = min(max(service.Fixed, 0), maxFixedLatency)
+		timing.samples = max(timing.samples, restoredSamples)
+		if service.Overrun >= minOverrun {
+			timing.overrun = overrun{logRatio: math.Log(min(service.Overrun, maxOverrun)), known: true}
 		}
 	}
 }
 
-// takenAs is the number of first events for which those count that another
-// scheduler saw.
-const takenAs = 100
+// restoredSamples is the number of first events that restored values count as.
+const restoredSamples = 100
--- a/internal/sched/board/memory_test.go
+++ b/internal/sched/board/memory_test.go
@@ -9,33 +9,33 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// The scheduler dies. The next one had scheduled minutes before and believed the
-// speeds of then: it sent a stream that had to be over in time to an engine that
-// was fast then and was replaced by a slow one under its id.
-func TestStandbyBelievesTheSchedulerMoreThanItself(t *testing.T) {
+// Guards against a standby scheduler that takes over with the speeds of the last time it
+// was active, and assigns a stream that must end in time to an engine that has since been
+// replaced by a slow one under the same ID.
+func TestStandbyPrefersStateOfTheActiveScheduler(t *testing.T) {
 	standby := board.New()
-	standby.SetUpstreams(start, engines(2, 12))
-	learn(standby, "e0", 0.3)
-	learn(standby, "e1", 2)
+	standby.SetUpstreams(startTime, newEngines(2, 12))
+	learnSlowness(standby, "e0", 0.3)
+	learnSlowness(standby, "e1", 2)
 
 	scheduler := board.New()
-	scheduler.SetUpstreams(start, engines(2, 12))
-	learn(scheduler, "e0", 2)
-	learn(scheduler, "e1", 0.3)
+	scheduler.SetUpstreams(startTime, newEngines(2, 12))
+	learnSlowness(scheduler, "e0", 2)
+	learnSlowness(scheduler, "e1", 0.3)
 	standby.Take(scheduler.Memory())
 
-	now := start.Add(time.Second)
-	a := ask(now, "gateway", "sure")
+	now := startTime.Add(time.Second)
+	a := newSlotRequest(now, "gateway", "sure")
 	a.Until, a.Ending, a.Output = now.Add(3*time.Second), board.EndSure, 200
 	standby.Ask(now, a)
 	require.Equal(t, "e1", standby.Verdicts()[0].Upstream)
 }
 
-// A peer of another version, or one that is broken, tells figures that no engine
-// can have. They are bounded or left aside.
-func TestStandbyTakesNoImpossibleFigures(t *testing.T) {
+// A peer that is faulty or of another version may send values that no engine can have.
+// They are clamped or ignored.
+func TestStandbyRejectsImpossibleValues(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 12))
+	b.SetUpstreams(startTime, newEngines(1, 12))
 	b.Take(board.Memory{
 		Speeds:   []board.Speed{{ID: "e0", Slowness: -3}, {ID: "unknown", Slowness: 1}},
 		Services: []board.ServiceMemory{{Name: "tutor", Overrun: 1e9, Reading: -1, Fixed: -time.Second}},
--- a/internal/sched/board/overrun.go
+++ b/internal/sched/board/overrun.go
@@ -5,113 +5,115 @@
 	"time"
 )
 
-// Ending tells what the end of a stream may depend on.
+// Ending tells whether a stream is cut off at the time Until of its slot request.
 type Ending int
 
-// The endings.
+// Ways for a stream to end.
 const (
-	// EndOpen streams go on as long as their callers wait.
+	// EndOpen streams go on for as long as the caller waits.
 	EndOpen Ending = iota
-	// EndLikely streams are cut at Until, and should be over by then.
+	// EndLikely streams are cut off at Until and should be complete by then.
 	EndLikely
-	// EndSure streams are cut at Until, and must be over by then.
+	// EndSure streams are cut off at Until and must be complete by then.
 	EndSure
 )
 
 const (
-	// overrunFirst is believed of a service before any of its streams ended.
-	overrunFirst = 4.0
-	// overrunLeast and overrunMost bound what is believed.
-	overrunLeast = 1.5
-	overrunMost  = 12.0
-	// overrunFall is by how much the logarithm of the estimate falls with each
-	// stream that kept to it. It settles where about one stream in 700 does not.
-	overrunFall = 0.0003
-	// overrunMargin is kept beyond it: the next long one may be longer.
+	// initialOverrun is assumed for a service until its first stream ends.
+	initialOverrun = 4.0
+	// minOverrun and maxOverrun bound the estimate.
+	minOverrun = 1.5
+	maxOverrun = 12.0
+	// overrunDecay is by how much the logarithm of the estimate decreases with each stream
+	// that stayed within it. The estimate settles where about one stream in 700 exceeds
+	// it.
+	overrunDecay = 0.0003
+	// overrunMargin is a factor on top of the estimate, because the next long stream may
+	// be longer.
 	overrunMargin = 1.2
-	// likelyOverrun is planned with where a stream should end in time and need
-	// not: the guess of its length is a median and often off by half.
+	// likelyOverrun is the overrun assumed for streams that should end in time but need
+	// not. The length estimate is a median and often off by half.
 	likelyOverrun = 1.6
-	// besides is what a stream of any length may lose to long prompts that its
-	// engine reads meanwhile.
-	besides = 250 * time.Millisecond
-	// unknownSlowness is planned with on an engine whose speed nobody knows, if
-	// a stream must be over in time.
-	unknownSlowness = 3.0
+	// prefillInterference is how much time a stream of any length may lose to long prompts
+	// that the engine prefills meanwhile.
+	prefillInterference = 250 * time.Millisecond
+	// assumedSlowness is used for an engine of unknown speed if a stream must end in time.
+	assumedSlowness = 3.0
 )
 
-// overrun keeps how far streams outran what was planned for their guessed
-// length. Guesses are right at the median and off by factors, prompts read
-// beside a stream hold it up, and the engine's speed is itself an estimate; the
-// ratio holds all of them.
+// overrun estimates how far streams exceed the time planned from their estimated length.
+// Length estimates are right at the median but off by factors, concurrent prefill delays a
+// stream, and the engine's speed is itself an estimate; the ratio covers all of these.
 type overrun struct {
-	log   float64
-	known bool
+	logRatio float64
+	known    bool
 }
 
-// see takes a whole stream's time and what was planned for it.
-func (o *overrun) see(took, planned time.Duration) {
+// observe takes the duration of a complete stream and the time planned for it.
+func (o *overrun) observe(took, planned time.Duration) {
 	if took <= 0 || planned <= 0 {
 		return
 	}
-	at := math.Log(o.ratio())
-	seen := math.Log(float64(took) / float64(planned))
-	o.log = min(max(seen, at-overrunFall, math.Log(overrunLeast)), math.Log(overrunMost))
+	current := math.Log(o.ratio())
+	observed := math.Log(float64(took) / float64(planned))
+	o.logRatio = min(max(observed, current-overrunDecay, math.Log(minOverrun)), math.Log(maxOverrun))
 	o.known = true
 }
 
 func (o *overrun) ratio() float64 {
 	if !o.known {
-		return overrunFirst
+		return initialOverrun
 	}
-	return math.Exp(o.log)
+	return math.Exp(o.logRatio)
 }
 
-// learnOverrun takes the time of a stream that ended well.
+// learnOverrun updates the overrun from a stream that completed.
 func (e *engine) learnOverrun(r *run, took time.Duration) {
 	if e.slowness.known() && !r.adopted {
-		e.family.overrun.see(took, e.planned(r.output))
+		e.timing.overrun.observe(took, e.plannedStreamTime(r.output))
 	}
 }
 
-// longest returns how long a stream takes on the engine at the most, from its
-// first event on.
-func (e *engine) longest(output int) time.Duration {
-	planned := e.planned(output)
-	if !e.slowness.known() && e.slowness.factor < unknownSlowness {
-		planned = time.Duration(float64(planned) * unknownSlowness / e.slowness.factor)
+// maxStreamTime returns an upper estimate of the time from a stream's first event to its
+// end on the engine.
+func (e *engine) maxStreamTime(output int) time.Duration {
+	planned := e.plannedStreamTime(output)
+	if !e.slowness.known() && e.slowness.factor < assumedSlowness {
+		planned = time.Duration(float64(planned) * assumedSlowness / e.slowness.factor)
 	}
-	return time.Duration(e.family.overrun.ratio() * overrunMargin * float64(planned))
+	return time.Duration(e.timing.overrun.ratio() * overrunMargin * float64(planned))
 }
 
-// planned is how long the full engine takes for a stream of the guessed length.
-func (e *engine) planned(output int) time.Duration { return e.decode(float64(output)) + besides }
+// plannedStreamTime returns how long a stream of the estimated length takes when all slots
+// of the engine are in use.
+func (e *engine) plannedStreamTime(output int) time.Duration {
+	return e.decodeTime(float64(output)) + prefillInterference
+}
 
-// endsInTime tells whether a stream whose first event takes so long ends before
-// it is of no use, at the pace of a full engine. One that goes on as long as its
-// caller waits is measured by the guess of its length alone: with room for longer
-// ones, the longest could go to the fastest engines only, and were refused in
-// time beside free ones.
-func (e *engine) endsInTime(now time.Time, a *Ask, first time.Duration) bool {
-	left := a.Until.Sub(now)
-	switch a.Ending {
+// endsInTime reports whether a stream with the given first-event latency ends before
+// Until, with all slots of the engine in use. For an open-ended stream only the estimated
+// length counts: with a margin, the longest streams would fit on the fastest engines only
+// and were refused while other engines were free.
+func (e *engine) endsInTime(now time.Time, req *Ask, firstEvent time.Duration) bool {
+	remaining := req.Until.Sub(now)
+	switch req.Ending {
 	case EndSure:
-		return first+e.longest(a.Output) <= left
+		return firstEvent+e.maxStreamTime(req.Output) <= remaining
 	case EndLikely:
-		return first+e.decode(likelyOverrun*float64(a.Output)) <= left
+		return firstEvent+e.decodeTime(likelyOverrun*float64(req.Output)) <= remaining
 	case EndOpen:
 	}
-	return first+e.decode(float64(a.Output)) <= left
+	return firstEvent+e.decodeTime(float64(req.Output)) <= remaining
 }
 
-// canEnd tells whether some engine would end in time, if it were idle, a stream
-// that is cut at Until. Nothing is gained by waiting for a place if none does.
-func (b *Board) canEnd(now time.Time, a *Ask) bool {
-	if a.Ending == EndOpen {
+// canEndInTime reports whether any engine, if idle, could end a stream that is cut off at
+// Until. If none can, waiting for a slot does not help.
+func (s *Board) canEndInTime(now time.Time, req *Ask) bool {
+	if req.Ending == EndOpen {
 		return true
 	}
-	for _, e := range b.byService[a.Service] {
-		if a.allows(e) && e.endsInTime(now, a, e.alone(a.Prompt)) {
+	for _, e := range s.byService[req.Service] {
+		if req.allows(e) && e.endsInTime(now, req, e.idleFirstEvent(req.Prompt)) {
 			return true
 		}
 	}
--- a/internal/sched/board/overrun_test.go
+++ b/internal/sched/board/overrun_test.go
@@ -10,18 +10,18 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// A caller had half an answer: its gateway was to stop in three seconds, took
-// the stream because its guessed length fitted, and cut it at the end. Guesses
-// are off by factors, so the stream goes to an engine that would end three times
-// as much, or to another gateway at once.
-func TestStreamThatIsCutAtItsEndGoesWhereItSurelyEnds(t *testing.T) {
+// Guards against a stream that is cut off because its gateway stops. The gateway stopped
+// in three seconds and accepted the stream because its estimated length fitted. Length
+// estimates are off by factors, so such a stream goes to an engine that could end three
+// times as much, or is refused at once so that another gateway takes it.
+func TestStreamThatMustEndGoesToAnEngineThatSurelyEndsIt(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(2, 12))
-	learn(b, "e0", 1)
-	learn(b, "e1", 0.3)
-	now := start.Add(time.Second)
+	b.SetUpstreams(startTime, newEngines(2, 12))
+	learnSlowness(b, "e0", 1)
+	learnSlowness(b, "e1", 0.3)
+	now := startTime.Add(time.Second)
 
-	fits := ask(now, "gateway", "fits")
+	fits := newSlotRequest(now, "gateway", "fits")
 	fits.Until, fits.Ending, fits.Output = now.Add(3*time.Second), board.EndSure, 200
 	b.Ask(now, fits)
 	require.Equal(t, "e1", b.Verdicts()[0].Upstream, "the ordinary engine may take longer")
@@ -32,82 +32,82 @@
 	v := b.Verdicts()[0]
 	require.Empty(t, v.Upstream)
 	require.False(t, v.Waiting, "waiting would not make it shorter")
-	require.LessOrEqual(t, v.RetryAfter, 10*time.Millisecond, "another gateway has the time")
+	require.LessOrEqual(t, v.RetryAfter, 10*time.Millisecond, "another gateway has enough time")
 }
 
-// Nothing is known of an engine that just registered. A stream that must end in
-// time does not go there.
-func TestStreamThatMustEndAvoidsAnUnknownEngine(t *testing.T) {
+// A stream that must end in time does not go to a newly registered engine whose speed is
+// unknown.
+func TestStreamThatMustEndAvoidsEngineOfUnknownSpeed(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 12))
-	a := ask(start, "gateway", "a")
-	a.Until, a.Ending, a.Output = start.Add(4*time.Second), board.EndSure, 200
-	b.Ask(start, a)
+	b.SetUpstreams(startTime, newEngines(1, 12))
+	a := newSlotRequest(startTime, "gateway", "a")
+	a.Until, a.Ending, a.Output = startTime.Add(4*time.Second), board.EndSure, 200
+	b.Ask(startTime, a)
 	require.Empty(t, b.Verdicts()[0].Upstream)
 }
 
-// Streams of a service keep to their guesses, so later ones are planned with
-// less room. One that outran its guess by far makes room again at once.
-func TestRoomThatIsPlannedFollowsWhatWasSeen(t *testing.T) {
+// While streams keep to their estimated lengths, the planned margin decreases. One stream
+// that exceeds its estimate by far restores it at once.
+func TestPlannedMarginFollowsObservedOverruns(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 12))
-	now := start
-	stream := func(id string, took time.Duration) {
-		a := ask(now, "gateway", id)
+	b.SetUpstreams(startTime, newEngines(1, 12))
+	now := startTime
+	runStream := func(id string, took time.Duration) {
+		a := newSlotRequest(now, "gateway", id)
 		b.Ask(now, a)
 		b.Started(now.Add(100*time.Millisecond), a.Owner, a.ID, -1)
 		now = now.Add(100*time.Millisecond + took)
 		b.Ended(now, a.Owner, a.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: 100})
 		b.Verdicts()
 	}
-	places := func() int {
-		a := ask(now, "gateway", "sure"+now.String())
+	countSureGrants := func() int {
+		a := newSlotRequest(now, "gateway", "sure"+now.String())
 		a.Until, a.Ending = now.Add(2*time.Second), board.EndSure
 		b.Ask(now, a)
-		count := granted(b.Verdicts())
+		count := countGranted(b.Verdicts())
 		b.Ended(now, a.Owner, a.ID, board.End{Outcome: board.Left})
 		return count
 	}
 	for i := range 4000 {
-		stream("kept"+strconv.Itoa(i), 400*time.Millisecond)
+		runStream("kept"+strconv.Itoa(i), 400*time.Millisecond)
 	}
-	require.Equal(t, 1, places())
-	stream("outran", 4*time.Second)
-	require.Zero(t, places())
+	require.Equal(t, 1, countSureGrants())
+	runStream("overran", 4*time.Second)
+	require.Zero(t, countSureGrants())
 }
 
-// Callers of long answers were refused beside free engines: with room for a
-// guess that is too short, the answer fitted on the fastest engines only, and
-// those were full. An engine that ends it in time by its guess takes it.
-func TestLongAnswerTakesAFreeSlowerEngine(t *testing.T) {
+// Guards against refusing long answers while engines are free. With a margin for wrong
+// length estimates, a long answer would fit on the fastest engines only, and those were
+// full. A free engine that ends it in time by the plain estimate takes it.
+func TestLongAnswerIsAssignedToFreeSlowerEngine(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 12))
-	learn(b, "e0", 2)
-	now := start.Add(time.Second)
-	long := ask(now, "gateway", "long")
+	b.SetUpstreams(startTime, newEngines(1, 12))
+	learnSlowness(b, "e0", 2)
+	now := startTime.Add(time.Second)
+	long := newSlotRequest(now, "gateway", "long")
 	long.Output = 1300
 	b.Ask(now, long)
 	require.Equal(t, "e0", b.Verdicts()[0].Upstream)
 }
 
-// One short stream that ends beside the reading of long prompts tells little of
-// an engine's speed. Taken for what it seemed, the next streams would go to an
-// engine that is no faster than the others.
-func TestShortStreamsBesidePromptsTellLittle(t *testing.T) {
+// A short stream that runs while long prompts are prefilled says little about an engine's
+// speed. Taken at face value, it would send the next streams to an engine that is no
+// faster than the others.
+func TestShortStreamsDuringPrefillHaveLittleWeight(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 12))
+	b.SetUpstreams(startTime, newEngines(1, 12))
 	for range 10 {
-		learn(b, "e0", 1)
+		learnSlowness(b, "e0", 1)
 	}
-	short := ask(start, "gateway", "short")
-	b.Ask(start, short)
-	b.Started(start.Add(100*time.Millisecond), short.Owner, short.ID, -1)
+	short := newSlotRequest(startTime, "gateway", "short")
+	b.Ask(startTime, short)
+	b.Started(startTime.Add(100*time.Millisecond), short.Owner, short.ID, -1)
 	for i := range 4 {
-		reads := ask(start, "gateway", "reads"+strconv.Itoa(i))
-		reads.Prompt, reads.MaxGap = 6000, 0
-		b.Ask(start.Add(110*time.Millisecond), reads)
+		prefill := newSlotRequest(startTime, "gateway", "prefill"+strconv.Itoa(i))
+		prefill.Prompt, prefill.MaxGap = 6000, 0
+		b.Ask(startTime.Add(110*time.Millisecond), prefill)
 	}
 	const took = 60 * time.Millisecond
-	b.Ended(start.Add(160*time.Millisecond), short.Owner, short.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: 18})
+	b.Ended(startTime.Add(160*time.Millisecond), short.Owner, short.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: 18})
 	require.InDelta(t, 1, b.Speeds()[0].Slowness, 0.1)
 }
--- a/internal/sched/board/pace.go
+++ b/internal/sched/board/pace.go
@@ -6,83 +6,85 @@
 )
 
 const (
-	// paceHalf is the time in which what was granted counts half. A few hundred
-	// places come free in it on an engine fleet of some 40, and a burst's end
-	// shows within it.
-	paceHalf = 400 * time.Millisecond
-	// patience is by how much the wait that is to be expected may exceed the
-	// time that is left. Places come free unevenly, so the expectation is off by
-	// half either way.
-	patience = 1.5
-	// alwaysWait is the part of a service's slots for which requests of a rank
-	// may wait whatever the pace. Places that come free all at once, when a burst
-	// ends, then find somebody, and a rank that got nothing so far is noticed.
-	alwaysWait = 0.05
+	// grantRateHalfLife is the half-life of the grant rate. It is long enough for a few
+	// hundred slots to become free in a fleet of about 40 engines, and short enough to
+	// notice the end of a burst.
+	grantRateHalfLife = 400 * time.Millisecond
+	// waitTolerance is by what factor the expected wait may exceed the remaining time.
+	// Slots become free unevenly, so the expected wait is off by half either way.
+	waitTolerance = 1.5
+	// minQueueShare is the number of requests of a rank that may always wait, as a share
+	// of the service's slots. Some requests are then there when slots become free all at
+	// once at the end of a burst, and the grant rate of a rank that has had no slots so
+	// far can be measured.
+	minQueueShare = 0.05
 )
 
-// rank is what goes before all else in the order of what waits.
+// rank groups the waiting requests whose relative order depends on their deadlines only.
 type rank struct {
-	service  string
-	tier     int
-	returned bool
+	service       string
+	tier          int
+	refusedBefore bool
 }
 
-func rankOf(a *Ask) rank { return rank{a.Service, a.Tier, a.returned} }
+func rankOf(req *Ask) rank { return rank{req.Service, req.Tier, req.refusedBefore} }
 
-// pace is how often a rank's waiting requests got a place of late.
-type pace struct {
-	count float64
-	at    time.Time
+// grantRate is an exponentially decaying count of slots granted to waiting requests of a
+// rank.
+type grantRate struct {
+	count     float64
+	updatedAt time.Time
 }
 
-func (p *pace) decayed(now time.Time) float64 {
-	return p.count * math.Exp2(-now.Sub(p.at).Seconds()/paceHalf.Seconds())
+func (r *grantRate) decayed(now time.Time) float64 {
+	return r.count * math.Exp2(-now.Sub(r.updatedAt).Seconds()/grantRateHalfLife.Seconds())
 }
 
-func (p *pace) add(now time.Time) {
-	p.count, p.at = p.decayed(now)+1, now
+func (r *grantRate) add(now time.Time) {
+	r.count, r.updatedAt = r.decayed(now)+1, now
 }
 
-// perSecond returns the places a second: a steady stream of them settles at a
-// count of its rate times the half-life over ln 2.
-func (p *pace) perSecond(now time.Time) float64 {
-	return p.decayed(now) * math.Ln2 / paceHalf.Seconds()
+// perSecond returns the number of grants per second. With a steady rate, the count settles
+// at the rate times the half-life divided by ln 2.
+func (r *grantRate) perSecond(now time.Time) float64 {
+	return r.decayed(now) * math.Ln2 / grantRateHalfLife.Seconds()
 }
 
-// notePace counts a place that a waiting request got.
-func (b *Board) notePace(now time.Time, a *Ask) {
-	p := b.paces[rankOf(a)]
-	if p == nil {
-		p = &pace{}
-		b.paces[rankOf(a)] = p
+// recordQueueGrant counts a slot granted to a waiting request.
+func (s *Board) recordQueueGrant(now time.Time, req *Ask) {
+	rate := s.grantRates[rankOf(req)]
+	if rate == nil {
+		rate = &grantRate{}
+		s.grantRates[rankOf(req)] = rate
 	}
-	p.add(now)
+	rate.add(now)
 }
 
-// hopeless tells whether a request would wait in vain: at the pace at which its
-// rank gets places, those that go before it take longer than it can wait. To
-// tell its caller at once spares a wait of three quarters of its objective, and
-// it may come back so much earlier. Spare is how long it can wait.
-func (b *Board) hopeless(now time.Time, a *Ask, spare time.Duration) bool {
-	if a.Again || b.saturatedFor(now) < saturatedAfter {
+// queueTooLong reports whether the request would wait in vain: at the rate at which
+// requests of its rank are granted slots, those ahead of it take longer than its slack. An
+// immediate refusal saves the caller a wait of three quarters of its first-event target,
+// and lets it retry that much earlier.
+func (s *Board) queueTooLong(now time.Time, req *Ask, slack time.Duration) bool {
+	if req.Again || s.saturatedFor(now) < saturationThreshold {
 		return false
 	}
-	before := b.before(a)
-	if float64(before) < alwaysWait*float64(b.slots(a.Service)) {
+	ahead := s.countAhead(req)
+	if float64(ahead) < minQueueShare*float64(s.slots(req.Service)) {
 		return false
 	}
 	perSecond := 0.0
-	if p := b.paces[rankOf(a)]; p != nil {
-		perSecond = p.perSecond(now)
+	if rate := s.grantRates[rankOf(req)]; rate != nil {
+		perSecond = rate.perSecond(now)
 	}
-	return float64(before) > patience*perSecond*spare.Seconds()
+	return float64(ahead) > waitTolerance*perSecond*slack.Seconds()
 }
 
-// before counts the waiting requests of the same rank that are due no later.
-func (b *Board) before(a *Ask) int {
+// countAhead returns the number of waiting requests of the same rank whose deadline is no
+// later.
+func (s *Board) countAhead(req *Ask) int {
 	count := 0
-	for _, other := range b.waiting {
-		if !other.Again && rankOf(other) == rankOf(a) && !other.Due.After(a.Due) {
+	for _, other := range s.waiting {
+		if !other.Again && rankOf(other) == rankOf(req) && !other.Due.After(req.Due) {
 			count++
 		}
 	}
--- a/internal/sched/board/place.go
+++ b/internal/sched/board/place.go
@@ -9,59 +9,60 @@
 )
 
 const (
-	// dueMargin is kept to the due moment for the ways between callers,
-	// gateways and engines.
-	dueMargin = 15 * time.Millisecond
-	// gapPart is the part of the longest allowed pause that is planned with;
-	// steps are estimates.
-	gapPart = 0.8
-	// failMargin is by how much an engine's failure share must exceed the usual
-	// one for it to be left out.
-	failMargin = 0.2
-	// Weights of the choice among engines, in parts of all slots taken.
-	// weightFirst makes long prompts go to fast engines: it is the weight of
-	// the square of the part of the time left that the first event takes.
-	weightFirst = 1.5
-	// compareMost is how many engines a request's are chosen among.
-	compareMost = 128
-	// weightDomain is what the way to another failure domain counts.
-	weightDomain = 0.12
+	// networkMargin is subtracted from the time to the first-event deadline for the
+	// network between callers, gateways and engines.
+	networkMargin = 15 * time.Millisecond
+	// maxGapShare is the share of the longest allowed gap between events that may be
+	// planned for, because step times are estimates.
+	maxGapShare = 0.8
+	// failureMargin is by how much an engine's failure rate must exceed the baseline of
+	// its service for it to be skipped.
+	failureMargin = 0.2
+	// Weights in the cost of an engine, in units of the share of its slots in use.
+	//
+	// firstEventWeight sends long prompts to fast engines. It is the weight of the square
+	// of the share of the remaining time that the first event takes.
+	firstEventWeight = 1.5
+	// maxCompared is the maximum number of engines that are compared for one request.
+	maxCompared = 128
+	// crossDomainCost is the cost of sending a request to another failure domain.
+	crossDomainCost = 0.12
 )
 
-// never is how long a first event takes where no engine is in use; half of what
-// fits, so that sums with it do.
-const never = time.Duration(math.MaxInt64 / 2)
+// noEngineLatency is the first-event latency if no engine is available. It is half of the
+// largest duration so that adding to it does not overflow.
+const noEngineLatency = time.Duration(math.MaxInt64 / 2)
 
-// spare returns how much longer the request may wait and still have its first
-// event in time on the fastest engine that is in use, if that is idle. It is
-// negative if no engine can be in time any more.
-func (b *Board) spare(now time.Time, a *Ask) time.Duration {
-	return b.spareBy(now, a, b.fastest(now, a.Service))
+// slack returns how much longer the request may wait and still get its first event in time
+// from the fastest available engine, if that is idle. It is negative if no engine can meet
+// the deadline any more.
+func (s *Board) slack(now time.Time, req *Ask) time.Duration {
+	return s.slackOn(now, req, s.fastest(now, req.Service))
 }
 
-// spareBy is spare for those who know the fastest engine of the service. It is
-// that of the request too unless the request may not go there.
-func (b *Board) spareBy(now time.Time, a *Ask, fastest *engine) time.Duration {
-	if fastest != nil && !a.allows(fastest) {
+// slackOn is slack with the fastest engine of the service already known. Another engine is
+// searched for if the request may not go to that one.
+func (s *Board) slackOn(now time.Time, req *Ask, fastest *engine) time.Duration {
+	if fastest != nil && !req.allows(fastest) {
 		fastest = nil
-		for _, e := range b.byService[a.Service] {
-			if !now.Before(e.avoid) && a.allows(e) && e.faster(fastest) {
+		for _, e := range s.byService[req.Service] {
+			if !now.Before(e.backoffUntil) && req.allows(e) && e.faster(fastest) {
 				fastest = e
 			}
 		}
 	}
-	quickest := never
+	firstEvent := noEngineLatency
 	if fastest != nil {
-		quickest = fastest.alone(a.Prompt)
+		firstEvent = fastest.idleFirstEvent(req.Prompt)
 	}
-	return a.Due.Sub(now) - dueMargin - quickest
+	return req.Due.Sub(now) - networkMargin - firstEvent
 }
 
-// fastest returns the fastest engine of the service that is in use, or nil.
-func (b *Board) fastest(now time.Time, service string) *engine {
+// fastest returns the fastest available engine of the service, or nil.
+func (s *Board) fastest(now time.Time, service string) *engine {
 	var fastest *engine
-	for _, e := range b.byService[service] {
-		if !now.Before(e.avoid) && e.faster(fastest) {
+	for _, e := range s.byService[service] {
+		if !now.Before(e.backoffUntil) && e.faster(fastest) {
 			fastest = e
 		}
 	}
@@ -72,25 +73,25 @@
 	return other == nil || e.slowness.factor < other.slowness.factor
 }
 
-// place grants the best engine, if there is one.
-func (b *Board) place(now time.Time, a *Ask, late bool) bool {
+// tryGrant assigns the request to the cheapest suitable engine, if there is one.
+func (s *Board) tryGrant(now time.Time, req *Ask, late bool) bool {
 	var best *engine
 	bestCost := 0.0
-	usual := b.usualFailing(now, a.Service)
-	engines := b.byService[a.Service]
-	first := 0
-	if len(engines) > compareMost {
-		first = b.scanned
+	baseline := s.baselineFailureRate(now, req.Service)
+	engines := s.byService[req.Service]
+	offset := 0
+	if len(engines) > maxCompared {
+		offset = s.scanOffset
 	}
 	for i := range engines {
-		// Of a large fleet a part is compared, another one each time; the rest is
-		// looked at only if none of these suits.
-		if i >= compareMost && best != nil {
+		// In a large fleet only some engines are compared, others each time. The rest are
+		// checked only if none of these is suitable.
+		if i >= maxCompared && best != nil {
 			break
 		}
-		b.scanned = (first + i + 1) % len(engines)
-		e := engines[(first+i)%len(engines)]
-		cost, ok := b.cost(now, e, a, late, usual)
+		s.scanOffset = (offset + i + 1) % len(engines)
+		e := engines[(offset+i)%len(engines)]
+		cost, ok := s.cost(now, e, req, late, baseline)
 		if ok && (best == nil || cost < bestCost) {
 			best, bestCost = e, cost
 		}
@@ -98,75 +99,77 @@
 	if best == nil {
 		return false
 	}
-	b.grant(now, best, a)
+	s.grant(now, best, req)
 	return true
 }
 
-// usualFailing returns the failure share by which a service's engines are measured.
-func (b *Board) usualFailing(now time.Time, service string) float64 {
-	usual := b.usual[service]
-	if age := now.Sub(usual.at); !usual.at.IsZero() && age >= 0 && age < usualFor {
-		return usual.share
-	}
-	engines := b.byService[service]
-	shares := make([]float64, 0, len(engines))
+// baselineFailureRate returns the failure rate with which the engines of a service are
+// compared.
+func (s *Board) baselineFailureRate(now time.Time, service string) float64 {
+	baseline := s.baselines[service]
+	if age := now.Sub(baseline.at); !baseline.at.IsZero() && age >= 0 && age < baselineMaxAge {
+		return baseline.rate
+	}
+	engines := s.byService[service]
+	rates := make([]float64, 0, len(engines))
 	for _, e := range engines {
-		shares = append(shares, e.failShare.At(now))
+		rates = append(rates, e.failureRate.At(now))
 	}
-	usual = usualShare{share: failure.Usual(shares), at: now}
-	b.usual[service] = usual
-	return usual.share
+	baseline = failureBaseline{rate: failure.Usual(rates), at: now}
+	s.baselines[service] = baseline
+	return baseline.rate
 }
 
-// usualShare is a failure share and when it was taken.
-type usualShare struct {
-	share float64
-	at    time.Time
+// failureBaseline is a cached baseline failure rate.
+type failureBaseline struct {
+	rate float64
+	at   time.Time
 }
 
-// usualFor is how long it is used: shares move by a few hundredths in it.
-const usualFor = 20 * time.Millisecond
+// baselineMaxAge is how long a cached baseline is used. Failure rates change by a few
+// hundredths in that time.
+const baselineMaxAge = 20 * time.Millisecond
 
-// cost ranks an engine for a request; the lowest is chosen. It tells whether
-// the engine may get the request at all.
-func (b *Board) cost(now time.Time, e *engine, a *Ask, late bool, usualFailing float64) (float64, bool) {
+// cost returns the cost of assigning the request to the engine, and whether the engine is
+// suitable at all. The engine with the lowest cost is chosen.
+func (s *Board) cost(now time.Time, e *engine, req *Ask, late bool, baseline float64) (float64, bool) {
 	running := e.running(now)
-	room := e.Slots
+	slots := e.Slots
 	if late {
-		room -= int(lateReserve*float64(e.Slots)) + 1
+		slots -= int(lateSlotReserve*float64(e.Slots)) + 1
 	}
-	if running >= room || now.Before(e.avoid) || !a.allows(e) {
+	if running >= slots || now.Before(e.backoffUntil) || !req.allows(e) {
 		return 0, false
 	}
-	if e.failShare.At(now) > usualFailing+failMargin {
+	if e.failureRate.At(now) > baseline+failureMargin {
 		return 0, false
 	}
-	first := e.firstEvent(now, a.Prompt)
-	left := a.Due.Sub(now) - dueMargin
+	firstEvent := e.firstEvent(now, req.Prompt)
+	available := req.Due.Sub(now) - networkMargin
 	if late {
-		left = a.Until.Sub(now) / 2
+		available = req.Until.Sub(now) / 2
 	}
-	if first > left {
+	if firstEvent > available {
 		return 0, false
 	}
-	gap := profile.Gap(max(1, e.EventTokens), running+1, e.backlog+a.Prompt, e.family.reading) * e.slowness.factor
-	if running > 0 && a.MaxGap > 0 && gap > gapPart*ms(a.MaxGap) {
+	gap := profile.Gap(max(1, e.EventTokens), running+1, e.prefillBacklog+req.Prompt, e.timing.prefillFactor) * e.slowness.factor
+	if running > 0 && req.MaxGap > 0 && gap > maxGapShare*ms(req.MaxGap) {
 		return 0, false
 	}
-	if !e.endsInTime(now, a, first) || e.stalled(now) {
+	if !e.endsInTime(now, req, firstEvent) || e.stalled(now) {
 		return 0, false
 	}
-	part := ms(first) / max(1, ms(left))
-	cost := float64(running)/float64(e.Slots) + weightFirst*part*part
-	if e.Domain != a.Domain {
-		cost += weightDomain
+	fraction := ms(firstEvent) / max(1, ms(available))
+	cost := float64(running)/float64(e.Slots) + firstEventWeight*fraction*fraction
+	if e.Domain != req.Domain {
+		cost += crossDomainCost
 	}
 	return cost, true
 }
 
-func (b *Board) grant(now time.Time, e *engine, a *Ask) {
-	r := &run{owner: a.Owner, id: a.ID, number: a.Number, prompt: a.Prompt, output: a.Output, granted: now}
-	e.grant(now, r)
-	b.addRun(a.Owner, key(a.Owner, a.ID), e)
-	b.answer(a, Verdict{Upstream: e.ID})
+func (s *Board) grant(now time.Time, e *engine, req *Ask) {
+	r := &run{owner: req.Owner, id: req.ID, number: req.Number, prompt: req.Prompt, output: req.Output, grantedAt: now}
+	e.assign(now, r)
+	s.addRun(req.Owner, runKey(req.Owner, req.ID), e)
+	s.decide(req, Verdict{Upstream: e.ID})
 }
--- a/internal/sched/board/refusals.go
+++ b/internal/sched/board/refusals.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// saturatedAfter is how long requests must have waited without a break for
-	// the overload to count as more than a moment.
-	saturatedAfter = 250 * time.Millisecond
-	// retryLeast and retryMost bound what refused callers are told, before it is
-	// spread: no less than a crowded moment lasts, and no more than a caller
-	// with a deadline of some ten seconds may wait and still be served.
-	retryLeast = 300 * time.Millisecond
-	retryMost  = 2500 * time.Millisecond
+	// saturationThreshold is how long requests must have been waiting without a break for
+	// this to count as overload rather than a short peak.
+	saturationThreshold = 250 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the retry delay of refused requests before
+	// jitter is added: at least the length of a short peak, and at most what a caller with
+	// a deadline of about ten seconds can wait and still be served.
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 2500 * time.Millisecond
 )
 
-// returnWithin is how long a refused request is remembered: callers come back
-// within a third of the time they have left, five seconds at most.
-const returnWithin = 8 * time.Second
+// refusalTTL is how long a refused request is remembered. Callers retry within a third of
+// their remaining time, and within five seconds at most.
+const refusalTTL = 8 * time.Second
 
-// refusals are the fingerprints of requests that were refused, and when.
+// refusals maps the fingerprints of refused requests to the times of refusal.
 type refusals map[uint64]time.Time
 
 func (r refusals) add(now time.Time, fingerprint uint64) {
@@ -30,56 +30,56 @@
 	r[fingerprint] = now
 }
 
-// take tells whether a request was refused shortly before, and forgets it.
-func (r refusals) take(now time.Time, fingerprint uint64) bool {
-	at, ok := r[fingerprint]
+// consume reports whether the request was refused recently, and removes the entry.
+func (r refusals) consume(now time.Time, fingerprint uint64) bool {
+	refusedAt, ok := r[fingerprint]
 	if !ok {
 		return false
 	}
 	delete(r, fingerprint)
-	return now.Sub(at) <= returnWithin
+	return now.Sub(refusedAt) <= refusalTTL
 }
 
-// expire forgets requests that did not come back.
+// expire removes the entries of requests that were not retried.
 func (r refusals) expire(now time.Time) {
-	for fingerprint, at := range r {
-		if now.Sub(at) > returnWithin {
+	for fingerprint, refusedAt := range r {
+		if now.Sub(refusedAt) > refusalTTL {
 			delete(r, fingerprint)
 		}
 	}
 }
 
-func (b *Board) refuse(now time.Time, a *Ask, why string) {
-	b.refusals.add(now, a.Fingerprint)
-	why = fmt.Sprintf("%s (%d wait, %d late, for %d slots, for %s so far)",
-		why, len(b.waiting), len(b.late), b.slots(a.Service), b.saturatedFor(now).Round(time.Millisecond))
-	b.answer(a, Verdict{RetryAfter: b.retryAfter(now), Why: why})
+func (s *Board) refuse(now time.Time, req *Ask, reason string) {
+	s.refusals.add(now, req.Fingerprint)
+	reason = fmt.Sprintf("%s (%d waiting, %d late, %d slots, saturated for %s)",
+		reason, len(s.waiting), len(s.late), s.slots(req.Service), s.saturatedFor(now).Round(time.Millisecond))
+	s.decide(req, Verdict{RetryAfter: s.retryAfter(now), Why: reason})
 }
 
-// retryAfter tells when a place should be free. How long an overload goes on is
-// unknown; the best guess is as long as it has lasted. Callers are spread over
-// as long again, so that they do not return together.
-func (b *Board) retryAfter(now time.Time) time.Duration {
-	base := min(max(b.saturatedFor(now), retryLeast), retryMost)
-	b.spread = b.spread*6364136223846793005 + 1442695040888963407
-	return base + time.Duration(float64(base)*float64(b.spread>>40)/(1<<24))
+// retryAfter returns when a slot should become free. The remaining duration of an overload
+// is unknown; the best estimate is the time it has lasted so far. Jitter of up to the same
+// length keeps callers from retrying all at once.
+func (s *Board) retryAfter(now time.Time) time.Duration {
+	base := min(max(s.saturatedFor(now), minRetryAfter), maxRetryAfter)
+	s.jitterState = s.jitterState*6364136223846793005 + 1442695040888963407
+	return base + time.Duration(float64(base)*float64(s.jitterState>>40)/(1<<24))
 }
 
-// saturatedFor returns for how long requests that can be in time have waited
+// saturatedFor returns for how long requests that can be served in time have been waiting
 // without a break.
-func (b *Board) saturatedFor(now time.Time) time.Duration {
-	if b.saturatedSince.IsZero() {
+func (s *Board) saturatedFor(now time.Time) time.Duration {
+	if s.saturatedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(b.saturatedSince)
+	return now.Sub(s.saturatedSince)
 }
 
-// noteSaturation keeps the moment since which requests wait.
-func (b *Board) noteSaturation(now time.Time) {
+// updateSaturation sets or clears saturatedSince.
+func (s *Board) updateSaturation(now time.Time) {
 	switch {
-	case len(b.waiting) == 0:
-		b.saturatedSince = time.Time{}
-	case b.saturatedSince.IsZero():
-		b.saturatedSince = now
+	case len(s.waiting) == 0:
+		s.saturatedSince = time.Time{}
+	case s.saturatedSince.IsZero():
+		s.saturatedSince = now
 	}
 }
--- a/internal/sched/board/return_test.go
+++ b/internal/sched/board/return_test.go
@@ -10,42 +10,42 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// Guards against an engine that is filled anew while it runs what it had: its
-// registration lapsed for a moment, and the board forgot its places.
-func TestEngineThatReturnsKeepsItsPlaces(t *testing.T) {
+// Guards against forgetting the runs of an engine whose registration lapses for a moment,
+// and assigning it more requests than it has slots.
+func TestRelistedEngineKeepsItsRuns(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 2))
+	b.SetUpstreams(startTime, newEngines(1, 2))
 	for i := range 2 {
-		b.Ask(start, ask(start, "gateway", "old"+strconv.Itoa(i)))
+		b.Ask(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
 	}
-	require.Equal(t, 2, granted(b.Verdicts()))
+	require.Equal(t, 2, countGranted(b.Verdicts()))
 
-	b.SetUpstreams(start.Add(100*time.Millisecond), nil)
-	later := start.Add(200 * time.Millisecond)
-	b.SetUpstreams(later, engines(1, 2))
-	// The gateway still holds both, and says so.
-	b.Sync(later, "gateway", []board.Held{
+	b.SetUpstreams(startTime.Add(100*time.Millisecond), nil)
+	later := startTime.Add(200 * time.Millisecond)
+	b.SetUpstreams(later, newEngines(1, 2))
+	// The gateway reports that it still holds both slots.
+	b.Reconcile(later, "gateway", []board.HeldSlot{
 		{ID: "old0", Upstream: "e0", Prompt: 1000, Output: 100, Started: true},
 		{ID: "old1", Upstream: "e0", Prompt: 1000, Output: 100, Started: true},
 	})
-	b.Ask(later, ask(later, "gateway", "new"))
-	require.Zero(t, granted(b.Verdicts()))
+	b.Ask(later, newSlotRequest(later, "gateway", "new"))
+	require.Zero(t, countGranted(b.Verdicts()))
 
 	b.Ended(later, "gateway", "old0", board.End{Outcome: board.Answered})
-	require.Equal(t, 1, granted(b.Verdicts()))
+	require.Equal(t, 1, countGranted(b.Verdicts()))
 }
 
-// Guards against places that stay taken for good: their gateway was gone while
-// the registration of their engine had lapsed.
-func TestPlacesOfAGatewayThatIsGoneEndOnAnEngineThatReturns(t *testing.T) {
+// Guards against slots that stay in use for good when their gateway goes down while the
+// registration of their engine has lapsed.
+func TestRunsOfADroppedGatewayEndOnARelistedEngine(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 1))
-	b.Ask(start, ask(start, "gone", "old"))
-	b.SetUpstreams(start, nil)
-	b.DropOwner(start, "gone")
-	b.SetUpstreams(start, engines(1, 1))
+	b.SetUpstreams(startTime, newEngines(1, 1))
+	b.Ask(startTime, newSlotRequest(startTime, "gone", "old"))
+	b.SetUpstreams(startTime, nil)
+	b.DropOwner(startTime, "gone")
+	b.SetUpstreams(startTime, newEngines(1, 1))
 	b.Verdicts()
 
-	b.Ask(start, ask(start, "gateway", "new"))
-	require.Equal(t, 1, granted(b.Verdicts()))
+	b.Ask(startTime, newSlotRequest(startTime, "gateway", "new"))
+	require.Equal(t, 1, countGranted(b.Verdicts()))
 }
--- a/internal/sched/board/speeds.go
+++ b/internal/sched/board/speeds.go
@@ -5,53 +5,53 @@
 	"slices"
 )
 
-// Speed is what is known of one engine. An engine that started anew has another
-// Born, and may run on other hardware.
+// Speed is the learned speed of one engine. An engine that restarted has a different Born
+// and may run on other hardware.
 type Speed struct {
 	ID       string
 	Born     int64
 	Slowness float64
 }
 
-// believable tells whether the speed is one that an engine can have.
-func (s Speed) believable() bool { return s.Slowness >= slownessLeast && s.Slowness <= slownessMost }
+// valid reports whether the slowness is within the allowed bounds.
+func (s Speed) valid() bool { return s.Slowness >= minSlowness && s.Slowness <= maxSlowness }
 
-// Speeds returns what was learned of the engines, in the order of their ids.
-func (b *Board) Speeds() []Speed {
-	var all []Speed
-	for _, e := range b.engines {
+// Speeds returns the learned engine speeds, sorted by ID.
+func (s *Board) Speeds() []Speed {
+	var speeds []Speed
+	for _, e := range s.engines {
 		if e.slowness.known() {
-			all = append(all, Speed{ID: e.ID, Born: e.Born, Slowness: e.slowness.factor})
+			speeds = append(speeds, Speed{ID: e.ID, Born: e.Born, Slowness: e.slowness.factor})
 		}
 	}
-	slices.SortFunc(all, func(x, y Speed) int { return cmp.Compare(x.ID, y.ID) })
-	return all
+	slices.SortFunc(speeds, func(x, y Speed) int { return cmp.Compare(x.ID, y.ID) })
+	return speeds
 }
 
-// Recall takes what another scheduler learned. A scheduler that knows no speeds
-// takes all engines for ordinary ones, and gives those that are a third as fast
-// streams that they cannot end before the caller's deadline. What this board
-// learned itself counts more.
-func (b *Board) Recall(speeds []Speed) {
-	b.recalled = make(map[string]Speed, len(speeds))
-	for _, s := range speeds {
-		b.recalled[s.ID] = s
+// Recall applies engine speeds learned by another scheduler. Without them, a new scheduler
+// takes all engines for ordinary ones, and assigns streams to engines a third as fast that
+// cannot end them before the caller's deadline. Speeds that this scheduler has learned
+// itself take precedence.
+func (s *Board) Recall(speeds []Speed) {
+	s.restoredSpeeds = make(map[string]Speed, len(speeds))
+	for _, speed := range speeds {
+		s.restoredSpeeds[speed.ID] = speed
 	}
-	for _, e := range b.engines {
-		b.remember(e)
+	for _, e := range s.engines {
+		s.applyRestoredSpeed(e)
 	}
 }
 
-// remember gives an engine of unknown speed the one that is recalled.
-func (b *Board) remember(e *engine) {
-	if s, ok := b.recalled[e.ID]; ok && !e.slowness.known() {
-		e.believe(s)
+// applyRestoredSpeed sets the restored speed of an engine whose speed is unknown.
+func (s *Board) applyRestoredSpeed(e *engine) {
+	if speed, ok := s.restoredSpeeds[e.ID]; ok && !e.slowness.known() {
+		e.restoreSpeed(speed)
 	}
 }
 
-// believe takes a speed that another scheduler learned, if it is this engine's.
-func (e *engine) believe(s Speed) {
-	if s.Born == e.Born && s.believable() {
-		e.slowness = estimate{factor: s.Slowness, evidence: evidenceMost}
+// restoreSpeed sets the speed if it is valid and belongs to this start of the engine.
+func (e *engine) restoreSpeed(s Speed) {
+	if s.Born == e.Born && s.valid() {
+		e.slowness = estimate{factor: s.Slowness, evidence: maxEvidence}
 	}
 }
--- a/internal/sched/board/stalled_test.go
+++ b/internal/sched/board/stalled_test.go
@@ -9,45 +9,45 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// Callers were refused beside engines that had half of their slots free. Each
-// engine had kept one request without an answer, as faulty ones do with a part
-// of what they get, and served all others; that one made it look dead.
+// Guards against taking an engine for dead because it left one request without an answer,
+// as faulty engines do with some of their requests, while it serves all others. Callers
+// were refused although half of the slots were free.
 func TestEngineThatServesOthersIsNotStalled(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(1, 12))
-	b.Ask(start, ask(start, "gateway", "hangs"))
-	b.Ask(start, ask(start, "gateway", "served"))
-	later := start.Add(900 * time.Millisecond)
+	b.SetUpstreams(startTime, newEngines(1, 12))
+	b.Ask(startTime, newSlotRequest(startTime, "gateway", "hangs"))
+	b.Ask(startTime, newSlotRequest(startTime, "gateway", "served"))
+	later := startTime.Add(900 * time.Millisecond)
 	b.Started(later, "gateway", "served", -1)
 	b.Verdicts()
 
-	b.Ask(later, ask(later, "gateway", "new"))
+	b.Ask(later, newSlotRequest(later, "gateway", "new"))
 
-	require.Equal(t, 1, granted(b.Verdicts()))
+	require.Equal(t, 1, countGranted(b.Verdicts()))
 }
 
-// An engine goes dark: it keeps its connections and answers nothing. What it is
-// given more would be lost as well.
-func TestEngineThatStartsNothingIsLeft(t *testing.T) {
+// An engine that keeps its connections but sends nothing gets no more requests, which
+// would be lost as well.
+func TestEngineThatStartsNothingIsSkipped(t *testing.T) {
 	b := board.New()
-	b.SetUpstreams(start, engines(2, 12))
-	b.Ask(start, ask(start, "gateway", "first"))
-	dark := b.Verdicts()[0].Upstream
-	later := start.Add(900 * time.Millisecond)
+	b.SetUpstreams(startTime, newEngines(2, 12))
+	b.Ask(startTime, newSlotRequest(startTime, "gateway", "first"))
+	stalled := b.Verdicts()[0].Upstream
+	later := startTime.Add(900 * time.Millisecond)
 	for _, id := range []string{"a", "b", "c", "d"} {
-		b.Ask(later, ask(later, "gateway", id))
+		b.Ask(later, newSlotRequest(later, "gateway", id))
 	}
 	for _, v := range b.Verdicts() {
-		require.NotEqual(t, dark, v.Upstream)
+		require.NotEqual(t, stalled, v.Upstream)
 	}
 }
 
-// No engine of the service is in use when a request's due moment has passed. It
-// waits for one as late requests do, and is not taken for one that can be in time.
-func TestRequestIsLateWhereNoEngineIsInUse(t *testing.T) {
+// A request whose first-event deadline has passed goes to the late queue even if no engine
+// of the service is available.
+func TestOverdueRequestIsLateWithoutEngines(t *testing.T) {
 	b := board.New()
-	a := ask(start, "gateway", "a")
-	a.Due = start.Add(-time.Second)
-	b.Ask(start, a)
-	require.Zero(t, b.Stats(start).Waiting)
+	a := newSlotRequest(startTime, "gateway", "a")
+	a.Due = startTime.Add(-time.Second)
+	b.Ask(startTime, a)
+	require.Zero(t, b.Stats(startTime).Waiting)
 }
--- a/internal/sched/board/stats.go
+++ b/internal/sched/board/stats.go
@@ -7,78 +7,78 @@
 	"time"
 )
 
-// Stats is the board at one moment, for logs.
+// Stats is a summary of the scheduler for logs.
 type Stats struct {
 	Waiting, Late int
 	Running       int
 	Slots         int
-	// Full and Idle count the engines without a free slot and without a request.
+	// Full and Idle count the engines without a free slot and without requests.
 	Full, Idle int
-	// Engines tells of those engines that get nothing, or that others use, their
-	// running requests and slots, slowness and the reason, of statsMost at most;
-	// Unusual counts them.
+	// Engines describes up to maxDescribedEngines of the engines that are skipped or that
+	// others use too: their runs and slots, slowness and the reason. Unusual counts all of
+	// them.
 	Engines string
 	Unusual int
-	// Services tells of each service by how much its engines read slower than
-	// they decode, and its time to a first event that is no engine's work.
+	// Services lists for each service by what factor prefill is slower than the decoding
+	// speed suggests, and the part of the first-event latency that does not depend on the
+	// engine.
 	Services string
 }
 
-// statsMost bounds the engines that Stats describes, so that what is written does
-// not grow with the fleet.
-const statsMost = 8
+// maxDescribedEngines keeps the log record from growing with the fleet.
+const maxDescribedEngines = 8
 
-// Stats returns the board at the moment.
-func (b *Board) Stats(now time.Time) Stats {
-	s := Stats{Waiting: len(b.waiting), Late: len(b.late)}
+// Stats returns a summary at the given time.
+func (s *Board) Stats(now time.Time) Stats {
+	stats := Stats{Waiting: len(s.waiting), Late: len(s.late)}
 	var engines []string
-	for _, e := range b.engines {
+	for _, e := range s.engines {
 		running := e.running(now)
-		s.Running += running
-		s.Slots += e.Slots
+		stats.Running += running
+		stats.Slots += e.Slots
 		if running >= e.Slots {
-			s.Full++
+			stats.Full++
 		}
 		if running == 0 {
-			s.Idle++
+			stats.Idle++
 		}
 		if e.unusual(now) {
 			engines = append(engines, e.describe(now))
 		}
 	}
 	slices.Sort(engines)
-	s.Unusual = len(engines)
-	s.Engines = strings.Join(engines[:min(statsMost, len(engines))], " ")
+	stats.Unusual = len(engines)
+	stats.Engines = strings.Join(engines[:min(maxDescribedEngines, len(engines))], " ")
 	var services []string
-	for name, f := range b.families {
-		services = append(services, fmt.Sprintf("%s:%.2f+%dms", name, f.reading, f.fixed.Milliseconds()))
+	for name, timing := range s.timings {
+		services = append(services, fmt.Sprintf("%s:%.2f+%dms", name, timing.prefillFactor, timing.fixedLatency.Milliseconds()))
 	}
 	slices.Sort(services)
-	s.Services = strings.Join(services, " ")
-	return s
+	stats.Services = strings.Join(services, " ")
+	return stats
 }
 
-// unusual tells whether the engine gets less than its slots hold.
+// unusual reports whether the engine is skipped or also used by others.
 func (e *engine) unusual(now time.Time) bool {
-	return now.Before(e.avoid) || e.stalled(now) || e.failShare.At(now) > failMargin || e.others(now) >= 1
+	return now.Before(e.backoffUntil) || e.stalled(now) || e.failureRate.At(now) > failureMargin || e.externalLoad(now) >= 1
 }
 
 func (e *engine) describe(now time.Time) string {
 	text := fmt.Sprintf("%s:%d/%d*%.2f", e.ID, len(e.runs), e.Slots, e.slowness.factor)
-	if others := e.others(now); others >= 1 {
-		text += fmt.Sprintf("+%.0f", others)
+	if external := e.externalLoad(now); external >= 1 {
+		text += fmt.Sprintf("+%.0f", external)
 	}
-	if wait := e.wait(now); wait > time.Millisecond {
+	if wait := e.prefillWait(now); wait > time.Millisecond {
 		text += fmt.Sprintf("r%d", wait.Milliseconds())
 	}
-	if now.Before(e.avoid) {
+	if now.Before(e.backoffUntil) {
 		text += "!unreached"
 	}
 	if e.stalled(now) {
 		text += "!stalled"
 	}
-	if failing := e.failShare.At(now); failing > failMargin {
-		text += fmt.Sprintf("!failing%.2f", failing)
+	if rate := e.failureRate.At(now); rate > failureMargin {
+		text += fmt.Sprintf("!failing%.2f", rate)
 	}
 	return text
 }
--- a/internal/sched/board/sync.go
+++ b/internal/sched/board/sync.go
@@ -2,67 +2,68 @@
 
 import "time"
 
-// syncAfter is the age from which a run that its gateway does not hold is
-// forgotten: a grant that is younger may still be on its way.
-const syncAfter = time.Second
+// unheldGracePeriod is the age from which a run that its gateway does not hold is removed.
+// The grant of a younger one may still be in transit.
+const unheldGracePeriod = time.Second
 
-// Held is a place that a gateway holds.
-type Held struct {
+// HeldSlot is a slot that a gateway holds.
+type HeldSlot struct {
 	ID, Upstream   string
 	Number         uint64
 	Prompt, Output int
 	Started        bool
 }
 
-// Sync takes all places that a gateway holds. Schedulers change without a word
-// between them, so a place may be given back to another than granted it. It
-// would stay taken here for good, and its first event, which nobody reports any
-// more, would make its engine look stalled. What the gateway does not hold is
-// forgotten; what another scheduler granted is taken in.
-func (b *Board) Sync(now time.Time, owner string, held []Held) {
+// Reconcile compares the runs of a gateway with all slots that it holds. A scheduler
+// change is not coordinated, so a slot may be released to another scheduler than the one
+// that granted it. Here the slot would stay in use for good, and the engine would look
+// stalled because no one reports the first event. Runs that the gateway does not hold are
+// removed, and slots granted by another scheduler are added.
+func (s *Board) Reconcile(now time.Time, owner string, held []HeldSlot) {
 	holds := make(map[string]bool, len(held))
 	for _, h := range held {
-		holds[key(owner, h.ID)] = true
-		b.takeIn(now, owner, h)
+		holds[runKey(owner, h.ID)] = true
+		s.addHeld(now, owner, h)
 	}
-	for k := range b.byOwner[owner] {
-		e := b.byRun[k]
+	for k := range s.byOwner[owner] {
+		e := s.byRun[k]
 		r := e.runs[k]
 		if r == nil {
-			b.dropRun(owner, k)
+			s.dropRun(owner, k)
 			continue
 		}
-		if holds[k] || now.Sub(r.granted) < syncAfter {
+		if holds[k] || now.Sub(r.grantedAt) < unheldGracePeriod {
 			continue
 		}
-		e.end(now, k, r)
-		b.dropRun(owner, k)
-		b.fill(now, e)
+		e.remove(now, k, r)
+		s.dropRun(owner, k)
+		s.fill(now, e)
 	}
 }
 
-func (b *Board) takeIn(now time.Time, owner string, h Held) {
-	k := key(owner, h.ID)
-	e := b.engines[h.Upstream]
-	if other := b.byRun[k]; other != nil {
+func (s *Board) addHeld(now time.Time, owner string, h HeldSlot) {
+	k := runKey(owner, h.ID)
+	e := s.engines[h.Upstream]
+	if other := s.byRun[k]; other != nil {
 		r := other.runs[k]
-		// What a gateway held before it asked again is outdated.
+		// The report is older than the gateway's latest slot request.
 		if r == nil || r.number >= h.Number {
 			return
 		}
-		// The gateway had given up the ask that this board granted.
-		other.end(now, k, r)
-		b.dropRun(owner, k)
-		b.fill(now, other)
+		// The gateway abandoned the slot request for which this scheduler granted the
+		// other slot.
+		other.remove(now, k, r)
+		s.dropRun(owner, k)
+		s.fill(now, other)
 	}
 	if e == nil {
 		return
 	}
-	r := &run{owner: owner, id: h.ID, number: h.Number, prompt: h.Prompt, output: h.Output, granted: now, adopted: true}
-	b.addRun(owner, k, e)
+	r := &run{owner: owner, id: h.ID, number: h.Number, prompt: h.Prompt, output: h.Output, grantedAt: now, adopted: true}
+	s.addRun(owner, k, e)
 	if h.Started {
 		e.adopt(now, r)
 		return
 	}
-	e.grant(now, r)
+	e.assign(now, r)
 }
--- a/internal/sched/granter/granter.go
+++ b/internal/sched/granter/granter.go
@@ -134,8 +134,8 @@
 }
 
 // Held takes all places that a gateway holds.
-func (g *Granter) Held(owner string, held []board.Held) {
-	g.do(func(b *board.Board, now time.Time) { b.Sync(now, owner, held) })
+func (g *Granter) Held(owner string, held []board.HeldSlot) {
+	g.do(func(b *board.Board, now time.Time) { b.Reconcile(now, owner, held) })
 }
 
 // Started notes a first event and how many requests the engine said it has, or
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -63,10 +63,10 @@
 	return wire.PlaceAsk_OPEN
 }
 
-func readHeld(h *wire.PlacesHeld) []board.Held {
-	held := make([]board.Held, 0, len(h.Places))
+func readHeld(h *wire.PlacesHeld) []board.HeldSlot {
+	held := make([]board.HeldSlot, 0, len(h.Places))
 	for _, p := range h.Places {
-		held = append(held, board.Held{
+		held = append(held, board.HeldSlot{
 			ID: p.Id, Number: p.Number, Upstream: p.Upstream, Prompt: int(p.Prompt), Output: int(p.Output), Started: p.Started,
 		})
 	}
