--- a/internal/sched/permit/ending_test.go
+++ b/internal/sched/permit/ending_test.go
@@ -15,20 +15,19 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/roster"
 )
 
-func mute(string, *wire.Envelope) bool                  { return true }
+func discardMessage(string, *wire.Envelope) bool        { return true }
 func noUpstream(string) (u roster.Upstream, known bool) { return u, false }
-func other(time.Time) string                            { return "other" }
+func otherScheduler(time.Time) string                   { return "other" }
 func engineService(name string) *catalog.Service {
 	return &catalog.Service{Name: name, Engine: &catalog.Engine{}}
 }
 
-// Guards against a stream that a stopping gateway takes late and sends to a full
-// engine, where it waits until it is cut: which engines are full, only the
-// scheduler knows.
-func TestStreamThatMustEndIsRefusedWithoutAScheduler(t *testing.T) {
+// Guards against a stream that a stopping gateway accepts late and sends to a full engine,
+// where it waits until it is cut off. Only the scheduler knows which engines are full.
+func TestStreamThatMustEndIsRefusedWithoutScheduler(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		c := permit.New(permit.Parts{
-			Node: "gateway", Domain: "a", Scheduler: other, Send: mute, Local: chooser{}, Upstream: noUpstream,
+			Node: "gateway", Domain: "a", Scheduler: otherScheduler, Send: discardMessage, Local: fixedPicker{}, Upstream: noUpstream,
 			Service: engineService, Metrics: noMetrics{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 		})
 		pick := func(id string, e flow.Ending) error {
--- a/internal/sched/permit/moments_test.go
+++ b/internal/sched/permit/moments_test.go
@@ -21,67 +21,67 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/roster"
 )
 
-// way is one direction between a gateway and the scheduler, on which messages are
-// late. On one link they keep their order.
-type way struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	ordered bool
-	last    time.Time
+// link delays the messages in one direction between a gateway and the scheduler. An
+// ordered link keeps their order.
+type link struct {
+	mu          sync.Mutex
+	random      *rand.Rand
+	ordered     bool
+	lastArrival time.Time
 }
 
-// next returns how long the next message takes.
-func (w *way) next(now time.Time) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	arrives := now.Add(time.Duration(w.random.IntN(150)) * time.Millisecond)
-	if w.ordered && !arrives.After(w.last) {
-		arrives = w.last.Add(time.Microsecond)
+// delay returns how long the next message takes.
+func (l *link) delay(now time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	arrives := now.Add(time.Duration(l.random.IntN(150)) * time.Millisecond)
+	if l.ordered && !arrives.After(l.lastArrival) {
+		arrives = l.lastArrival.Add(time.Microsecond)
 	}
-	w.last = arrives
+	l.lastArrival = arrives
 	return arrives.Sub(now)
 }
 
-// Guards against an engine that is filled twice by messages that come at any moment:
-// each takes up to 150 ms.
-func TestLateGrantsAtAnyMomentEndNoOtherPlace(t *testing.T) {
+// Guards against assigning more requests to an engine than it has slots when messages are
+// delayed by up to 150 ms each.
+func TestDelayedGrantsDoNotReleaseOtherSlots(t *testing.T) {
 	for seed := range uint64(200) {
-		bubble.Run(t, func(t *testing.T) { lateGrants(t, seed, true) })
+		bubble.Run(t, func(t *testing.T) { testDelayedGrants(t, seed, true) })
 	}
 }
 
-// Guards against an engine that is filled twice by messages of a link that was
-// replaced, which arrive after those on the new one.
-func TestGrantsThatOvertakeEndNoOtherPlace(t *testing.T) {
+// Guards against assigning more requests to an engine than it has slots when delayed
+// messages from a replaced connection arrive after those on the new one.
+func TestReorderedGrantsDoNotReleaseOtherSlots(t *testing.T) {
 	for seed := range uint64(20) {
-		bubble.Run(t, func(t *testing.T) { lateGrants(t, seed, false) })
+		bubble.Run(t, func(t *testing.T) { testDelayedGrants(t, seed, false) })
 	}
 }
 
-// lateGrants places one request after the other on an engine of one slot, and asks
-// for a place for another one while each of them has it.
-func lateGrants(t *testing.T, seed uint64, ordered bool) {
-	there := &way{random: rand.New(rand.NewPCG(seed, 0)), ordered: ordered}
-	back := &way{random: rand.New(rand.NewPCG(seed, 1)), ordered: ordered}
+// testDelayedGrants places requests one after the other on an engine with one slot, and
+// while each of them holds the slot, asks for a slot for another request.
+func testDelayedGrants(t *testing.T, seed uint64, ordered bool) {
+	toScheduler := &link{random: rand.New(rand.NewPCG(seed, 0)), ordered: ordered}
+	toGateway := &link{random: rand.New(rand.NewPCG(seed, 1)), ordered: ordered}
 	var client *permit.Client
-	var others atomic.Int64
+	var otherGrants atomic.Int64
 	scheduler := granter.New(time.Now, func(v board.Verdict) {
 		if v.Owner != "gateway" {
 			if v.Upstream != "" {
-				others.Add(1)
+				otherGrants.Add(1)
 			}
 			return
 		}
-		time.AfterFunc(back.next(time.Now()), func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
+		time.AfterFunc(toGateway.delay(time.Now()), func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
 	}, slog.New(slog.DiscardHandler))
 	scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
 	client = permit.New(permit.Parts{
 		Node: "gateway", Domain: "a", Scheduler: func(time.Time) string { return "scheduler" },
 		Send: func(_ string, e *wire.Envelope) bool {
-			time.AfterFunc(there.next(time.Now()), func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
+			time.AfterFunc(toScheduler.delay(time.Now()), func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
 			return true
 		},
-		Local: chooser{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
+		Local: fixedPicker{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
 		Service: func(string) *catalog.Service {
 			return &catalog.Service{Name: "tutor", Engine: &catalog.Engine{Slots: 1}}
 		},
@@ -101,7 +101,7 @@
 			Owner: "other", ID: fmt.Sprintf("other-%d", i), Service: "tutor", Domain: "a", Due: later.Add(600 * time.Millisecond),
 			Until: later.Add(15 * time.Second), Prompt: 1000, Output: 100,
 		})
-		require.Zero(t, others.Load(), "seed %d, request %d: the engine has one slot, and it is in use", seed, i)
+		require.Zero(t, otherGrants.Load(), "seed %d, request %d: the engine has one slot, and it is in use", seed, i)
 		scheduler.Ended("other", fmt.Sprintf("other-%d", i), board.End{Outcome: board.Left})
 		place.Done(time.Now(), flow.Answered, 0)
 		bubble.Pass(time.Second)
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -1,5 +1,5 @@
-// Package permit gets places for requests from the gateway that schedules at
-// present, and chooses by itself while none can be asked.
+// Package permit requests slots on engines from the gateway that is the scheduler at
+// present, and chooses an upstream locally while no scheduler can be asked.
 package permit
 
 import (
@@ -16,37 +16,38 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/roster"
 )
 
-// answerSlack is how much longer than the longest wait that a scheduler plans
-// an ask is waited for. A scheduler that lives but lost the ask is not asked
-// for longer than a caller would wait.
-const answerSlack = 1500 * time.Millisecond
+// decisionTimeout is how long a gateway waits for the scheduler's decision: somewhat
+// longer than the longest wait that a scheduler plans. If the scheduler is up but lost the
+// slot request, the request does not wait longer than a caller would.
+const decisionTimeout = 1500 * time.Millisecond
 
-// wordWithin is how long a scheduler's first word may take: whether it grants,
-// refuses or lets wait. It comes within some 4 ms across failure domains; over
-// a link that loses packets, or from a VM that has become slow, waiting for it
-// costs more of a caller's few hundred milliseconds than choosing here.
-const wordWithin = 40 * time.Millisecond
+// firstReplyTimeout is how long a scheduler may take for its first reply, whether it
+// grants a slot, refuses or queues the slot request. A reply takes about 4 ms across
+// failure domains. On a link that loses packets, or from a VM that has become slow,
+// waiting for it would cost more of a caller's few hundred milliseconds than choosing an
+// upstream locally.
+const firstReplyTimeout = 40 * time.Millisecond
 
-// asksMost bounds the schedulers that one request asks, each after the one
-// before went silent.
-const asksMost = 3
+// maxSchedulers is how many schedulers are asked for one request, each after the previous
+// one went silent.
+const maxSchedulers = 3
 
-// Local chooses without asking anybody.
+// Local chooses an upstream without a scheduler.
 type Local interface {
 	flow.Picker
-	// Hold counts a place at an upstream that somebody else chose.
+	// Hold counts a request at an upstream that was chosen elsewhere.
 	Hold(u roster.Upstream) flow.Place
 }
 
-// Parts are what a Client works with.
+// Parts are the dependencies of a Client.
 type Parts struct {
-	// Node is this gateway's name, Domain its failure domain.
+	// Node is the name of this gateway, Domain its failure domain.
 	Node, Domain string
-	// Scheduler returns the gateway to ask, "" if there is none.
+	// Scheduler returns the gateway that is the scheduler, or "" if there is none.
 	Scheduler func(now time.Time) string
-	// Send queues a message for a gateway.
+	// Send queues a message to a gateway.
 	Send func(node string, e *wire.Envelope) bool
-	// Own takes messages as if a gateway had sent them, when this one schedules.
+	// Own handles messages to the scheduler if that is this gateway itself.
 	Own      func(now time.Time, e *wire.Envelope)
 	Local    Local
 	Upstream func(id string) (roster.Upstream, bool)
@@ -56,181 +57,181 @@
 	Now      func() time.Time
 }
 
-// Metrics takes what came of asks for a place.
+// Metrics records the results of slot requests.
 type Metrics interface {
-	// Placed counts an ask by its result, one of a few words, and how long it
-	// took.
+	// Placed counts a slot request by its result, one of a few fixed words, and records
+	// how long it took.
 	Placed(result string, waited time.Duration)
 }
 
-type verdict struct {
-	// number is that of the ask.
+type decision struct {
+	// number is the number of the slot request.
 	number     uint64
 	upstream   string
 	retryAfter time.Duration
-	why        string
-	// lost verdicts tell that the scheduler is gone.
+	reason     string
+	// lost is set if the scheduler is gone.
 	lost bool
-	// waiting verdicts tell that the ask is heard.
+	// waiting is set if the slot request was queued.
 	waiting bool
-	// mute verdicts tell that no word came in time.
-	mute bool
+	// timedOut is set if there was no first reply in time.
+	timedOut bool
 }
 
-// result names a verdict for the metrics; without one the caller left or the
-// scheduler said no more in time.
-func (v verdict) result(ok bool) string {
+// result names the decision for the metrics. Without a decision, the caller left or the
+// scheduler did not decide in time.
+func (d decision) result(ok bool) string {
 	switch {
 	case !ok:
 		return "none"
-	case v.mute:
+	case d.timedOut:
 		return "mute"
-	case v.lost:
+	case d.lost:
 		return "lost"
-	case v.upstream == "":
+	case d.upstream == "":
 		return "refused"
 	}
 	return "granted"
 }
 
-type pending struct {
+type pendingRequest struct {
 	scheduler string
 	number    uint64
-	verdicts  chan verdict
+	decisions chan decision
 }
 
 // Client implements flow.Picker.
 type Client struct {
 	Parts
 
-	mu      sync.Mutex
-	pending map[string]*pending
-	places  map[*place]struct{}
-	current string
-	// numbers counts the asks and the places that were not asked for. A
-	// request may have several, one after the other.
-	numbers uint64
+	mu            sync.Mutex
+	pending       map[string]*pendingRequest
+	places        map[*place]struct{}
+	lastScheduler string
+	// lastNumber is the last number given to a slot request or to a locally chosen slot. A
+	// request may have several in succession.
+	lastNumber uint64
 }
 
-// New returns a client of the parts.
+// New returns a client with the given dependencies.
 func New(parts Parts) *Client {
-	return &Client{Parts: parts, pending: make(map[string]*pending), places: make(map[*place]struct{})}
+	return &Client{Parts: parts, pending: make(map[string]*pendingRequest), places: make(map[*place]struct{})}
 }
 
 // Pick implements flow.Picker.
-func (c *Client) Pick(ctx context.Context, now time.Time, a flow.Ask) (flow.Place, error) {
-	service := c.Service(a.Service)
+func (c *Client) Pick(ctx context.Context, now time.Time, req flow.Ask) (flow.Place, error) {
+	service := c.Service(req.Service)
 	if service == nil || service.Engine == nil {
-		return c.Local.Pick(ctx, now, a)
+		return c.Local.Pick(ctx, now, req)
 	}
-	for range asksMost {
+	for range maxSchedulers {
 		scheduler := c.Scheduler(c.Now())
 		if scheduler == "" {
 			break
 		}
-		got, ok := c.ask(ctx, scheduler, a)
+		d, ok := c.requestSlot(ctx, scheduler, req)
 		if ctx.Err() != nil {
-			return nil, flow.RefusePlace(0, "the caller left or its time is over")
+			return nil, flow.RefusePlace(0, "the caller left or the deadline passed")
 		}
-		if got.mute {
+		if d.timedOut {
 			break
 		}
-		if !ok || got.lost {
+		if !ok || d.lost {
 			continue
 		}
-		if got.upstream == "" {
-			return nil, flow.RefusePlace(got.retryAfter, "no place: %s", got.why)
+		if d.upstream == "" {
+			return nil, flow.RefusePlace(d.retryAfter, "no slot: %s", d.reason)
 		}
-		if u, known := c.Upstream(got.upstream); known && u.State == roster.Ready {
-			return c.keep(c.Local.Hold(u), a, got.number), nil
+		if u, known := c.Upstream(d.upstream); known && u.State == roster.Ready {
+			return c.hold(c.Local.Hold(u), req, d.number), nil
 		}
-		// The scheduler does not know yet that the upstream leaves.
-		c.tell(ended(a.ID, got.number, board.End{Outcome: board.Unreached}))
-		a.Exclude = append(append([]string(nil), a.Exclude...), got.upstream)
+		// The scheduler does not know yet that the upstream is gone or leaving.
+		c.notify(endedMessage(req.ID, d.number, board.End{Outcome: board.Unreached}))
+		req.Exclude = append(append([]string(nil), req.Exclude...), d.upstream)
 	}
-	return c.pickHere(ctx, a)
+	return c.pickLocally(ctx, req)
 }
 
-// pickHere chooses without a scheduler. The place is counted like one that was
-// granted, so that the scheduler hears of it. A stream that must end in time gets
-// none: a full engine would keep it in its own queue, and which ones are full is
-// not known here.
-func (c *Client) pickHere(ctx context.Context, a flow.Ask) (flow.Place, error) {
-	c.Logger.Debug("choosing without the scheduler", "id", a.ID)
+// pickLocally chooses an upstream without the scheduler. The slot is held like a granted
+// one, so that the scheduler learns of it. A stream that must end in time gets none: it
+// might wait in the queue of a full engine, and only the scheduler knows which engines are
+// full.
+func (c *Client) pickLocally(ctx context.Context, req flow.Ask) (flow.Place, error) {
+	c.Logger.Debug("choosing without the scheduler", "id", req.ID)
 	now := c.Now()
-	if a.Ending == flow.EndSure {
-		return nil, flow.RefusePlace(0, "this process stops before the request could end")
+	if req.Ending == flow.EndSure {
+		return nil, flow.RefusePlace(0, "gateway stops before the stream could complete")
 	}
-	chosen, err := c.Local.Pick(ctx, now, a)
+	chosen, err := c.Local.Pick(ctx, now, req)
 	if err != nil {
 		return nil, err
 	}
 	c.mu.Lock()
-	c.numbers++
-	number := c.numbers
+	c.lastNumber++
+	number := c.lastNumber
 	c.mu.Unlock()
-	return c.keep(chosen, a, number), nil
+	return c.hold(chosen, req, number), nil
 }
 
-// ask asks one scheduler and waits for its verdict.
-func (c *Client) ask(ctx context.Context, scheduler string, a flow.Ask) (verdict, bool) {
-	p := &pending{scheduler: scheduler, verdicts: make(chan verdict, 2)}
+// requestSlot sends a slot request to a scheduler and waits for the decision.
+func (c *Client) requestSlot(ctx context.Context, scheduler string, req flow.Ask) (decision, bool) {
+	p := &pendingRequest{scheduler: scheduler, decisions: make(chan decision, 2)}
 	c.mu.Lock()
-	c.numbers++
-	p.number = c.numbers
-	c.pending[a.ID] = p
+	c.lastNumber++
+	p.number = c.lastNumber
+	c.pending[req.ID] = p
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.pending, a.ID)
+		delete(c.pending, req.ID)
 		c.mu.Unlock()
 	}()
-	if !c.sendTo(scheduler, c.askMessage(p.number, a)) {
-		return verdict{}, false
+	if !c.sendTo(scheduler, c.askMessage(p.number, req)) {
+		return decision{}, false
 	}
-	asked := c.Now()
-	got, ok := c.await(ctx, p, a)
-	c.Metrics.Placed(got.result(ok), c.Now().Sub(asked))
-	if !ok || got.mute {
-		c.sendTo(scheduler, ended(a.ID, p.number, board.End{Outcome: board.Left}))
+	askedAt := c.Now()
+	d, ok := c.await(ctx, p, req)
+	c.Metrics.Placed(d.result(ok), c.Now().Sub(askedAt))
+	if !ok || d.timedOut {
+		c.sendTo(scheduler, endedMessage(req.ID, p.number, board.End{Outcome: board.Left}))
 	}
-	got.number = p.number
-	return got, ok
+	d.number = p.number
+	return d, ok
 }
 
-// await waits for the first word, and then for the verdict.
-func (c *Client) await(ctx context.Context, p *pending, a flow.Ask) (verdict, bool) {
-	word := time.NewTimer(wordWithin)
-	defer word.Stop()
-	last := time.NewTimer(min(a.Until.Sub(c.Now()), answerSlack))
-	defer last.Stop()
+// await waits for the first reply, and then for the decision.
+func (c *Client) await(ctx context.Context, p *pendingRequest, req flow.Ask) (decision, bool) {
+	firstReply := time.NewTimer(firstReplyTimeout)
+	defer firstReply.Stop()
+	timeout := time.NewTimer(min(req.Until.Sub(c.Now()), decisionTimeout))
+	defer timeout.Stop()
 	for {
 		select {
-		case got := <-p.verdicts:
-			if got.waiting {
-				word.Stop()
+		case d := <-p.decisions:
+			if d.waiting {
+				firstReply.Stop()
 				continue
 			}
-			return got, true
-		case <-word.C:
-			return verdict{mute: true}, true
+			return d, true
+		case <-firstReply.C:
+			return decision{timedOut: true}, true
 		case <-ctx.Done():
-			return verdict{}, false
-		case <-last.C:
-			c.Logger.Warn("no verdict from the scheduler", "id", a.ID, "scheduler", p.scheduler)
-			return verdict{}, false
+			return decision{}, false
+		case <-timeout.C:
+			c.Logger.Warn("scheduler did not decide in time", "id", req.ID, "scheduler", p.scheduler)
+			return decision{}, false
 		}
 	}
 }
 
-func (c *Client) askMessage(number uint64, a flow.Ask) *wire.Envelope {
+func (c *Client) askMessage(number uint64, req flow.Ask) *wire.Envelope {
 	now := c.Now()
 	return &wire.Envelope{Body: &wire.Envelope_PlaceAsk{PlaceAsk: &wire.PlaceAsk{
-		Id: a.ID, Number: number, Service: a.Service, Tier: uint32(a.Tier), Domain: c.Domain,
-		DueMs: a.Due.Sub(now).Milliseconds(), UntilMs: a.Until.Sub(now).Milliseconds(),
-		Prompt: uint32(a.Prompt), Output: uint32(a.Output), MaxGapMs: uint32(a.Route.MaxGap.Milliseconds()),
-		Exclude: a.Exclude, Again: a.Again, Fingerprint: a.Fingerprint,
-		OnlyVersion: a.Only, NotVersion: a.Not, End: endMessage(a.Ending),
+		Id: req.ID, Number: number, Service: req.Service, Tier: uint32(req.Tier), Domain: c.Domain,
+		DueMs: req.Due.Sub(now).Milliseconds(), UntilMs: req.Until.Sub(now).Milliseconds(),
+		Prompt: uint32(req.Prompt), Output: uint32(req.Output), MaxGapMs: uint32(req.Route.MaxGap.Milliseconds()),
+		Exclude: req.Exclude, Again: req.Again, Fingerprint: req.Fingerprint,
+		OnlyVersion: req.Only, NotVersion: req.Not, End: endingMessage(req.Ending),
 	}}}
 }
 
@@ -242,32 +243,32 @@
 	return c.Send(node, e)
 }
 
-// tell sends a message to the gateway that schedules now.
-func (c *Client) tell(e *wire.Envelope) {
+// notify sends a message to the current scheduler.
+func (c *Client) notify(e *wire.Envelope) {
 	if scheduler := c.Scheduler(c.Now()); scheduler != "" {
 		c.sendTo(scheduler, e)
 	}
 }
 
-// Verdict takes a scheduler's answer. A place that comes after its ask was given
-// up is given back by its number: the request may have another place by then.
+// Verdict handles a decision of a scheduler. A slot granted after its slot request was
+// abandoned is released by its number, because the request may have another slot by then.
 func (c *Client) Verdict(v *wire.PlaceVerdict) {
 	c.mu.Lock()
 	p := c.pending[v.Id]
 	c.mu.Unlock()
 	if p == nil || p.number != v.Number {
 		if v.Upstream != "" {
-			c.tell(ended(v.Id, v.Number, board.End{Outcome: board.Left}))
+			c.notify(endedMessage(v.Id, v.Number, board.End{Outcome: board.Left}))
 		}
 		return
 	}
 	select {
-	case p.verdicts <- verdict{upstream: v.Upstream, retryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, why: v.Why, waiting: v.Waiting}:
+	case p.decisions <- decision{upstream: v.Upstream, retryAfter: time.Duration(v.RetryAfterMs) * time.Millisecond, reason: v.Why, waiting: v.Waiting}:
 	default:
 	}
 }
 
-// Down tells that a gateway is gone: what was asked of it is asked elsewhere.
+// Down handles the loss of a gateway. Its pending slot requests go to another scheduler.
 func (c *Client) Down(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -276,29 +277,29 @@
 			continue
 		}
 		select {
-		case p.verdicts <- verdict{lost: true}:
+		case p.decisions <- decision{lost: true}:
 		default:
 		}
 	}
 }
 
-// Follow notes a new scheduler and tells it of the places that are held.
+// Follow checks for a new scheduler and reports the held slots to it.
 func (c *Client) Follow(now time.Time) {
 	scheduler := c.Scheduler(now)
 	c.mu.Lock()
-	before := c.current
-	c.current = scheduler
+	previous := c.lastScheduler
+	c.lastScheduler = scheduler
 	c.mu.Unlock()
-	if scheduler == before {
+	if scheduler == previous {
 		return
 	}
-	c.Logger.Info("scheduler", "node", scheduler, "before", before)
+	c.Logger.Info("scheduler", "node", scheduler, "before", previous)
 	c.TellHeld(now)
 }
 
-// TellHeld tells the scheduler of all places that are held. It is repeated every
-// TellEvery, because a message may be lost, and a place that another gateway
-// granted for a moment would stay taken there for good.
+// TellHeld reports all held slots to the scheduler. It is repeated regularly because a
+// message may be lost, and because a slot granted by a gateway that was the scheduler for
+// a moment would otherwise stay in use there for good.
 func (c *Client) TellHeld(now time.Time) {
 	scheduler := c.Scheduler(now)
 	if scheduler == "" {
@@ -307,34 +308,34 @@
 	held := &wire.PlacesHeld{}
 	c.mu.Lock()
 	for p := range c.places {
-		held.Places = append(held.Places, p.held())
+		held.Places = append(held.Places, p.heldMessage())
 	}
 	c.mu.Unlock()
 	c.sendTo(scheduler, &wire.Envelope{Body: &wire.Envelope_PlacesHeld{PlacesHeld: held}})
 }
 
-// TellEvery is how often TellHeld is to be called.
+// TellEvery is the interval between reports of held slots.
 const TellEvery = time.Second
 
-func (c *Client) keep(local flow.Place, a flow.Ask, number uint64) flow.Place {
-	p := &place{client: c, local: local, upstream: local.Upstream(), ask: a, number: number}
+func (c *Client) hold(local flow.Place, req flow.Ask, number uint64) flow.Place {
+	p := &place{client: c, local: local, upstream: local.Upstream(), request: req, number: number}
 	c.mu.Lock()
 	c.places[p] = struct{}{}
 	c.mu.Unlock()
 	return p
 }
 
-// place is a place on an engine.
+// place is a slot on an engine.
 type place struct {
 	client   *Client
 	local    flow.Place
 	upstream roster.Upstream
-	ask      flow.Ask
+	request  flow.Ask
 	number   uint64
 
-	mu      sync.Mutex
-	started time.Time
-	load    *exchange.Load
+	mu        sync.Mutex
+	startedAt time.Time
+	load      *exchange.Load
 }
 
 // Upstream implements flow.Place.
@@ -350,15 +351,15 @@
 
 // Started implements flow.Place.
 func (p *place) Started(now time.Time) {
-	message := &wire.PlaceStarted{Id: p.ask.ID}
+	message := &wire.PlaceStarted{Id: p.request.ID}
 	p.mu.Lock()
-	p.started = now
+	p.startedAt = now
 	if p.load != nil {
 		message.LoadKnown, message.Running, message.Waiting = true, uint32(p.load.Running), uint32(p.load.Waiting)
 	}
 	p.mu.Unlock()
 	p.local.Started(now)
-	p.client.tell(&wire.Envelope{Body: &wire.Envelope_PlaceStarted{PlaceStarted: message}})
+	p.client.notify(&wire.Envelope{Body: &wire.Envelope_PlaceStarted{PlaceStarted: message}})
 }
 
 // Done implements flow.Place.
@@ -369,23 +370,23 @@
 	p.client.mu.Unlock()
 	p.mu.Lock()
 	stream := time.Duration(0)
-	if !p.started.IsZero() {
-		stream = now.Sub(p.started)
+	if !p.startedAt.IsZero() {
+		stream = now.Sub(p.startedAt)
 	}
 	p.mu.Unlock()
-	p.client.tell(ended(p.ask.ID, p.number, board.End{Outcome: boardOutcome(o), Stream: stream, Tokens: tokens}))
+	p.client.notify(endedMessage(p.request.ID, p.number, board.End{Outcome: boardOutcome(o), Stream: stream, Tokens: tokens}))
 }
 
-func (p *place) held() *wire.PlaceHeld {
+func (p *place) heldMessage() *wire.PlaceHeld {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &wire.PlaceHeld{
-		Id: p.ask.ID, Number: p.number, Upstream: p.upstream.ID, Prompt: uint32(p.ask.Prompt), Output: uint32(p.ask.Output),
-		Started: !p.started.IsZero(),
+		Id: p.request.ID, Number: p.number, Upstream: p.upstream.ID, Prompt: uint32(p.request.Prompt), Output: uint32(p.request.Output),
+		Started: !p.startedAt.IsZero(),
 	}
 }
 
-func ended(id string, number uint64, end board.End) *wire.Envelope {
+func endedMessage(id string, number uint64, end board.End) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_PlaceEnded{PlaceEnded: &wire.PlaceEnded{
 		Id: id, Number: number, Outcome: uint32(end.Outcome),
 		StreamUs: uint64(end.Stream.Microseconds()), Tokens: uint32(end.Tokens),
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -21,31 +21,33 @@
 
 var engine = roster.Upstream{ID: "engine", Service: "tutor", Domain: "a", Slots: 1, State: roster.Ready}
 
-// chooser always chooses the engine.
-type chooser struct{}
+// fixedPicker always picks the same engine.
+type fixedPicker struct{}
 
-func (chooser) Pick(context.Context, time.Time, flow.Ask) (flow.Place, error) { return seat{}, nil }
-func (chooser) Hold(roster.Upstream) flow.Place                               { return seat{} }
+func (fixedPicker) Pick(context.Context, time.Time, flow.Ask) (flow.Place, error) {
+	return fixedPlace{}, nil
+}
+func (fixedPicker) Hold(roster.Upstream) flow.Place { return fixedPlace{} }
 
-// seat is a place at the engine.
-type seat struct{}
+// fixedPlace is a slot on the engine.
+type fixedPlace struct{}
 
-func (seat) Upstream() roster.Upstream         { return engine }
-func (seat) Load(time.Time, exchange.Load)     {}
-func (seat) Started(time.Time)                 {}
-func (seat) Done(time.Time, flow.Outcome, int) {}
+func (fixedPlace) Upstream() roster.Upstream         { return engine }
+func (fixedPlace) Load(time.Time, exchange.Load)     {}
+func (fixedPlace) Started(time.Time)                 {}
+func (fixedPlace) Done(time.Time, flow.Outcome, int) {}
 
-// noMetrics drops what is counted.
+// noMetrics discards all metrics.
 type noMetrics struct{}
 
 func (noMetrics) Placed(string, time.Duration) {}
 
-// Guards against an engine that is filled twice: a grant that came when its
-// request had been placed without it was given back, and with it the place that
-// the request had.
-func TestLateGrantDoesNotEndThePlaceInUse(t *testing.T) {
+// Guards against assigning more requests to an engine than it has slots: a grant that
+// arrives after its request was placed locally is released, and must not release the
+// request's actual slot.
+func TestLateGrantDoesNotReleaseTheSlotInUse(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		const way = 60 * time.Millisecond
+		const latency = 60 * time.Millisecond
 		var client *permit.Client
 		granted := make(map[string]int)
 		scheduler := granter.New(time.Now, func(v board.Verdict) {
@@ -53,17 +55,17 @@
 				granted[v.Owner]++
 			}
 			if v.Owner == "gateway" {
-				time.AfterFunc(way, func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
+				time.AfterFunc(latency, func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
 			}
 		}, slog.New(slog.DiscardHandler))
 		scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
 		client = permit.New(permit.Parts{
 			Node: "gateway", Domain: "a", Scheduler: func(time.Time) string { return "scheduler" },
 			Send: func(_ string, e *wire.Envelope) bool {
-				time.AfterFunc(way, func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
+				time.AfterFunc(latency, func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
 				return true
 			},
-			Local: chooser{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
+			Local: fixedPicker{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
 			Service: func(string) *catalog.Service {
 				return &catalog.Service{Name: "tutor", Engine: &catalog.Engine{Slots: 1}}
 			},
@@ -75,9 +77,9 @@
 			Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100,
 		})
 		require.NoError(t, err)
-		// The scheduler hears of the place after it had heard that the ask is over.
+		// The scheduler hears of the slot after the slot request was withdrawn.
 		client.TellHeld(time.Now())
-		bubble.Pass(4 * way)
+		bubble.Pass(4 * latency)
 		later := time.Now()
 		scheduler.Ask(board.Ask{
 			Owner: "other", ID: "two", Service: "tutor", Domain: "a", Due: later.Add(600 * time.Millisecond),
@@ -86,6 +88,6 @@
 		require.Equal(t, 1, granted["gateway"])
 		require.Zero(t, granted["other"], "the engine has one slot, and it is in use")
 		place.Done(later, flow.Answered, 0)
-		bubble.Pass(2 * way)
+		bubble.Pass(2 * latency)
 	})
 }
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -9,12 +9,12 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/granter"
 )
 
-// Serve hands a gateway's message to the granter of the gateway that schedules.
-// It tells whether the message was one.
+// Serve passes a gateway's message to the scheduler's granter. It reports whether the
+// message was one for the granter.
 func Serve(now time.Time, g *granter.Granter, owner string, e *wire.Envelope) bool {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceAsk:
-		g.Ask(readAsk(now, owner, body.PlaceAsk))
+		g.Ask(decodeAsk(now, owner, body.PlaceAsk))
 	case *wire.Envelope_PlaceStarted:
 		reported := -1
 		if body.PlaceStarted.LoadKnown {
@@ -22,27 +22,27 @@
 		}
 		g.Started(owner, body.PlaceStarted.Id, reported)
 	case *wire.Envelope_PlaceEnded:
-		g.Ended(owner, body.PlaceEnded.Id, readEnd(body.PlaceEnded))
+		g.Ended(owner, body.PlaceEnded.Id, decodeEnd(body.PlaceEnded))
 	case *wire.Envelope_PlacesHeld:
-		g.Held(owner, readHeld(body.PlacesHeld))
+		g.Held(owner, decodeHeld(body.PlacesHeld))
 	default:
 		return false
 	}
 	return true
 }
 
-func readAsk(now time.Time, owner string, a *wire.PlaceAsk) board.Ask {
+func decodeAsk(now time.Time, owner string, a *wire.PlaceAsk) board.Ask {
 	return board.Ask{
 		Owner: owner, ID: a.Id, Number: a.Number, Service: a.Service, Domain: a.Domain, Tier: int(a.Tier),
 		Due:    now.Add(time.Duration(a.DueMs) * time.Millisecond),
 		Until:  now.Add(time.Duration(a.UntilMs) * time.Millisecond),
-		Prompt: int(a.Prompt), Output: int(a.Output), Ending: readEnding(a.End), MaxGap: time.Duration(a.MaxGapMs) * time.Millisecond,
+		Prompt: int(a.Prompt), Output: int(a.Output), Ending: decodeEnding(a.End), MaxGap: time.Duration(a.MaxGapMs) * time.Millisecond,
 		Exclude: a.Exclude, Again: a.Again, Fingerprint: a.Fingerprint,
 		Only: a.OnlyVersion, Not: a.NotVersion,
 	}
 }
 
-func readEnding(e wire.PlaceAsk_End) board.Ending {
+func decodeEnding(e wire.PlaceAsk_End) board.Ending {
 	switch e {
 	case wire.PlaceAsk_LIKELY:
 		return board.EndLikely
@@ -52,7 +52,7 @@
 	return board.EndOpen
 }
 
-func endMessage(e flow.Ending) wire.PlaceAsk_End {
+func endingMessage(e flow.Ending) wire.PlaceAsk_End {
 	switch e {
 	case flow.EndLikely:
 		return wire.PlaceAsk_LIKELY
@@ -63,7 +63,7 @@
 	return wire.PlaceAsk_OPEN
 }
 
-func readHeld(h *wire.PlacesHeld) []board.HeldSlot {
+func decodeHeld(h *wire.PlacesHeld) []board.HeldSlot {
 	held := make([]board.HeldSlot, 0, len(h.Places))
 	for _, p := range h.Places {
 		held = append(held, board.HeldSlot{
@@ -73,13 +73,13 @@
 	return held
 }
 
-func readEnd(e *wire.PlaceEnded) board.End {
+func decodeEnd(e *wire.PlaceEnded) board.End {
 	return board.End{
 		Outcome: board.Outcome(e.Outcome), Number: e.Number, Stream: time.Duration(e.StreamUs) * time.Microsecond, Tokens: int(e.Tokens),
 	}
 }
 
-// VerdictMessage returns the message that carries a verdict to who asked.
+// VerdictMessage returns the message that carries a decision to the gateway that asked.
 func VerdictMessage(v board.Verdict) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_PlaceVerdict{PlaceVerdict: &wire.PlaceVerdict{
 		Id: v.ID, Number: v.Number, Upstream: v.Upstream, RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), Why: v.Why, Waiting: v.Waiting,
