--- a/internal/sched/granter/export_test.go
+++ b/internal/sched/granter/export_test.go
@@ -1,4 +1,4 @@
 package granter
 
-// DropAfter is how long the places of a silent gateway are kept.
-const DropAfter = dropAfter
+// OwnerGracePeriod exports ownerGracePeriod for tests.
+const OwnerGracePeriod = ownerGracePeriod
--- a/internal/sched/granter/granter.go
+++ b/internal/sched/granter/granter.go
@@ -1,5 +1,5 @@
-// Package granter runs a board: it guards it, gives it the time, and hands its
-// verdicts to those who asked.
+// Package granter makes a scheduler from package board safe for concurrent use, calls it
+// at regular intervals, and delivers its decisions to the gateways that asked.
 package granter
 
 import (
@@ -11,35 +11,35 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-// dropAfter is how long the places of a gateway that went silent are kept: its
-// engines notice its end by their connections, and a gateway that is only out
-// of touch tells anew what it holds.
-const dropAfter = 300 * time.Millisecond
+// ownerGracePeriod is how long the slots of a silent gateway are kept. If it is down, its
+// engines notice by its closed connections; if it is only unreachable, it reports its
+// slots again later.
+const ownerGracePeriod = 300 * time.Millisecond
 
-// logEvery is how often the board is told in the log while requests wait.
-const logEvery = time.Second
+// logInterval is the interval between log records of the scheduler while requests wait.
+const logInterval = time.Second
 
-// Granter is a board in use. It is safe for concurrent use.
+// Granter is a scheduler that is safe for concurrent use.
 type Granter struct {
 	now     func() time.Time
 	deliver func(board.Verdict)
 	logger  *slog.Logger
 
-	mu     sync.Mutex
-	board  *board.Board
-	wake   chan struct{}
-	owners map[string]*time.Timer
-	// logged is when the board was last told in the log.
-	logged time.Time
+	mu         sync.Mutex
+	scheduler  *board.Board
+	wake       chan struct{}
+	dropTimers map[string]*time.Timer
+	// loggedAt is when the scheduler was last logged.
+	loggedAt time.Time
 }
 
-// New returns a granter of an empty board. Deliver gets each verdict, without
-// any lock held.
+// New returns a granter with an empty scheduler. It calls deliver with each decision,
+// without holding a lock.
 func New(now func() time.Time, deliver func(board.Verdict), logger *slog.Logger) *Granter {
-	return &Granter{now: now, deliver: deliver, logger: logger, board: board.New(), wake: make(chan struct{}, 1), owners: make(map[string]*time.Timer)}
+	return &Granter{now: now, deliver: deliver, logger: logger, scheduler: board.New(), wake: make(chan struct{}, 1), dropTimers: make(map[string]*time.Timer)}
 }
 
-// Run ticks the board while requests wait, until the context ends.
+// Run ticks the scheduler while requests wait, until the context ends.
 func (g *Granter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(board.TickEvery)
 	defer ticker.Stop()
@@ -62,13 +62,13 @@
 func (g *Granter) tick() bool {
 	waiting := false
 	var stats *board.Stats
-	g.do(func(b *board.Board, now time.Time) {
-		b.Tick(now)
-		waiting = b.Waiting()
-		if now.Sub(g.logged) >= logEvery {
-			g.logged = now
-			s := b.Stats(now)
-			stats = &s
+	g.update(func(s *board.Board, now time.Time) {
+		s.Tick(now)
+		waiting = s.Waiting()
+		if now.Sub(g.loggedAt) >= logInterval {
+			g.loggedAt = now
+			current := s.Stats(now)
+			stats = &current
 		}
 	})
 	if stats != nil {
@@ -79,12 +79,12 @@
 	return waiting
 }
 
-// do changes the board and hands out what it decides.
-func (g *Granter) do(change func(b *board.Board, now time.Time)) {
+// update changes the scheduler and delivers the resulting decisions.
+func (g *Granter) update(change func(s *board.Board, now time.Time)) {
 	g.mu.Lock()
-	change(g.board, g.now())
-	verdicts := g.board.Verdicts()
-	waiting := g.board.Waiting()
+	change(g.scheduler, g.now())
+	decisions := g.scheduler.Verdicts()
+	waiting := g.scheduler.Waiting()
 	g.mu.Unlock()
 	if waiting {
 		select {
@@ -92,90 +92,91 @@
 		default:
 		}
 	}
-	for _, v := range verdicts {
+	for _, v := range decisions {
 		g.deliver(v)
 	}
 }
 
-// SetUpstreams takes the engines that may get work.
+// SetUpstreams replaces the list of engines that may be assigned requests.
 func (g *Granter) SetUpstreams(upstreams []board.Upstream) {
-	g.do(func(b *board.Board, now time.Time) { b.SetUpstreams(now, upstreams) })
+	g.update(func(s *board.Board, now time.Time) { s.SetUpstreams(now, upstreams) })
 }
 
-// SetReach tells how many of the known gateways this one hears.
+// SetReach sets how many of the known gateways this one hears.
 func (g *Granter) SetReach(heard, known int) {
-	g.do(func(b *board.Board, now time.Time) { b.SetReach(now, heard, known) })
+	g.update(func(s *board.Board, now time.Time) { s.SetReach(now, heard, known) })
 }
 
-// Recall takes what another scheduler learned.
+// Recall applies engine speeds learned by another scheduler.
 func (g *Granter) Recall(speeds []board.Speed) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.board.Recall(speeds)
+	g.scheduler.Recall(speeds)
 }
 
-// Memory returns what was learned.
+// Memory returns what the scheduler has learned.
 func (g *Granter) Memory() board.Memory {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.board.Memory()
+	return g.scheduler.Memory()
 }
 
-// Take believes what the scheduler tells.
+// Take applies what the active scheduler has learned.
 func (g *Granter) Take(m board.Memory) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.board.Take(m)
+	g.scheduler.Take(m)
 }
 
-// Ask takes a request for a place.
+// Ask submits a request for a slot.
 func (g *Granter) Ask(a board.Ask) {
-	g.do(func(b *board.Board, now time.Time) { b.Ask(now, a) })
+	g.update(func(s *board.Board, now time.Time) { s.Ask(now, a) })
 }
 
-// Held takes all places that a gateway holds.
-func (g *Granter) Held(owner string, held []board.HeldSlot) {
-	g.do(func(b *board.Board, now time.Time) { b.Reconcile(now, owner, held) })
+// Reconcile compares the runs of a gateway with all slots that it holds.
+func (g *Granter) Reconcile(owner string, held []board.HeldSlot) {
+	g.update(func(s *board.Board, now time.Time) { s.Reconcile(now, owner, held) })
 }
 
-// Started notes a first event and how many requests the engine said it has, or
-// -1.
+// Started records the first event of a run, and the number of requests that its engine
+// reported, or -1 if it reported none.
 func (g *Granter) Started(owner, id string, reported int) {
-	g.do(func(b *board.Board, now time.Time) { b.Started(now, owner, id, reported) })
+	g.update(func(s *board.Board, now time.Time) { s.Started(now, owner, id, reported) })
 }
 
-// Ended takes a place back, or withdraws an ask.
+// Ended releases a slot or withdraws a waiting request.
 func (g *Granter) Ended(owner, id string, end board.End) {
-	g.do(func(b *board.Board, now time.Time) { b.Ended(now, owner, id, end) })
+	g.update(func(s *board.Board, now time.Time) { s.Ended(now, owner, id, end) })
 }
 
-// OwnerDown forgets a gateway's places after a while, unless it is heard again.
+// OwnerDown drops a gateway's requests and slots after a grace period, unless OwnerUp is
+// called before.
 func (g *Granter) OwnerDown(owner string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.owners[owner] != nil {
+	if g.dropTimers[owner] != nil {
 		return
 	}
 	var timer *time.Timer
-	timer = time.AfterFunc(dropAfter, func() {
-		g.do(func(b *board.Board, now time.Time) {
+	timer = time.AfterFunc(ownerGracePeriod, func() {
+		g.update(func(s *board.Board, now time.Time) {
 			// A timer that has fired cannot be stopped.
-			if g.owners[owner] != timer {
+			if g.dropTimers[owner] != timer {
 				return
 			}
-			delete(g.owners, owner)
-			b.DropOwner(now, owner)
+			delete(g.dropTimers, owner)
+			s.DropOwner(now, owner)
 		})
 	})
-	g.owners[owner] = timer
+	g.dropTimers[owner] = timer
 }
 
-// OwnerUp keeps the places of a gateway that is heard again.
+// OwnerUp cancels the drop of a gateway that is heard again.
 func (g *Granter) OwnerUp(owner string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if timer := g.owners[owner]; timer != nil {
+	if timer := g.dropTimers[owner]; timer != nil {
 		timer.Stop()
-		delete(g.owners, owner)
+		delete(g.dropTimers, owner)
 	}
 }
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -24,7 +24,7 @@
 	case *wire.Envelope_PlaceEnded:
 		g.Ended(owner, body.PlaceEnded.Id, decodeEnd(body.PlaceEnded))
 	case *wire.Envelope_PlacesHeld:
-		g.Held(owner, decodeHeld(body.PlacesHeld))
+		g.Reconcile(owner, decodeHeld(body.PlacesHeld))
 	default:
 		return false
 	}
