--- a/internal/sched/local/absent_test.go
+++ b/internal/sched/local/absent_test.go
@@ -14,13 +14,13 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/roster"
 )
 
-// Guards against requests that are refused because all upstreams of a plain service
-// are replaced in one instant, and against callers who are held while it has none.
-func TestServiceWhoseUpstreamsAreReplacedIsAwaited(t *testing.T) {
+// Guards against refusing requests when all upstreams of a plain service are replaced at
+// once, and against holding callers while the service has no upstream.
+func TestRequestWaitsWhileUpstreamsAreReplaced(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		// absent is for how long the service has no upstream, and later how long
-		// after their going the request comes.
+		// absent is how long the service has no upstream. later is the time from then
+		// until the request arrives.
 		absent, later, deadline time.Duration
 		served                  bool
 		took                    time.Duration
@@ -32,9 +32,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				gone := time.Now().Add(time.Second)
+				goneAt := time.Now().Add(time.Second)
 				ready := func(string) []roster.Upstream {
-					if now := time.Now(); !now.Before(gone) && now.Before(gone.Add(c.absent)) {
+					if now := time.Now(); !now.Before(goneAt) && now.Before(goneAt.Add(c.absent)) {
 						return nil
 					}
 					return []roster.Upstream{{ID: "u", Service: "bookings", Slots: 6, State: roster.Ready}}
@@ -46,16 +46,16 @@
 					defer cancel()
 					return chooser.Pick(ctx, now, flow.Ask{ID: "one", Service: "bookings", Until: now.Add(c.deadline)})
 				}
-				for time.Now().Before(gone) {
+				for time.Now().Before(goneAt) {
 					place, err := pick()
 					require.NoError(t, err)
 					place.Done(time.Now(), flow.Answered, 0)
 					<-time.After(10 * time.Millisecond)
 				}
 				<-time.After(c.later)
-				begun := time.Now()
+				startedAt := time.Now()
 				_, err := pick()
-				require.InDelta(t, c.took, time.Since(begun), float64(20*time.Millisecond))
+				require.InDelta(t, c.took, time.Since(startedAt), float64(20*time.Millisecond))
 				if c.served {
 					require.NoError(t, err)
 					return
--- a/internal/sched/local/local.go
+++ b/internal/sched/local/local.go
@@ -1,6 +1,6 @@
-// Package local chooses an upstream by what this process alone knows: its own
-// requests, and what upstreams said of themselves in their answers. It serves
-// plain services, and engines while no scheduler can be asked.
+// Package local chooses an upstream from what this process alone knows: its own requests
+// and the load that upstreams reported in their responses. It serves plain services, and
+// engines while no scheduler can be asked.
 package local
 
 import (
@@ -17,156 +17,161 @@
 )
 
 const (
-	// loadFor is how long what an upstream said of its load is reckoned with;
-	// a plain request takes some 30 ms, so older counts say nothing.
-	loadFor = 300 * time.Millisecond
-	// avoidFirst and avoidMost bound how long an upstream is left out after a
-	// connection failed; it doubles with each failure in a row.
-	avoidFirst = 300 * time.Millisecond
-	avoidMost  = 3 * time.Second
-	// failWeight is the weight of one outcome in an upstream's failure share.
-	failWeight = 0.1
-	// failMargin is by how much an upstream's failure share must exceed the
-	// usual one for it to be left: services fail some of their requests by
-	// themselves.
-	failMargin = 0.2
-	// failHalf is the time in which a failure share halves without new outcomes.
-	failHalf = 2 * time.Second
-	// otherDomain is what the way to another failure domain counts, in parts
-	// of a request that runs: it costs bytes and a millisecond.
-	otherDomain = 0.35
-	// queuePart is how many requests an engine may hold for this process
-	// beyond its slots before another is refused.
-	queuePart = 0.25
-	// fullRetry is told to callers when all upstreams are full.
-	fullRetry = 250 * time.Millisecond
-	// noneRetry is told to callers when a service has no upstream.
-	noneRetry = 500 * time.Millisecond
-	// absentMost is how long after a service had its last upstream a request waits
-	// for another one: all may be replaced at once, and what a process does not know
-	// yet is no reason to turn callers away.
-	absentMost = time.Second
-	// absentPause is between two looks for one.
-	absentPause = 10 * time.Millisecond
+	// loadMaxAge is how long a reported load is used. A plain request takes about 30 ms,
+	// so an older count is meaningless.
+	loadMaxAge = 300 * time.Millisecond
+	// minBackoff and maxBackoff bound how long an upstream is skipped after a failed
+	// connection. The time doubles with each consecutive failure.
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 3 * time.Second
+	// failureWeight is the weight of one outcome in an upstream's failure rate.
+	failureWeight = 0.1
+	// failureMargin is by how much an upstream's failure rate must exceed the baseline of
+	// its service for it to be skipped. Services fail some of their requests on their own
+	// account.
+	failureMargin = 0.2
+	// failureHalfLife is the half-life of a failure rate without new outcomes.
+	failureHalfLife = 2 * time.Second
+	// crossDomainCost is the cost of sending a request to another failure domain, in
+	// running requests. It costs traffic and a millisecond of latency.
+	crossDomainCost = 0.35
+	// queueShare is how many requests this process may have at an upstream beyond twice
+	// its even share of the slots, as a share of all slots of the upstream.
+	queueShare = 0.25
+	// fullRetryAfter is the retry delay when all upstreams are full.
+	fullRetryAfter = 250 * time.Millisecond
+	// noUpstreamRetryAfter is the retry delay when a service has no upstream.
+	noUpstreamRetryAfter = 500 * time.Millisecond
+	// maxAbsenceWait is how long after a service had its last upstream a request waits for
+	// a new one. All upstreams may be replaced at once, and callers should not be refused
+	// because this process does not know the new ones yet.
+	maxAbsenceWait = time.Second
+	// absencePollInterval is the interval between checks for a new upstream.
+	absencePollInterval = 10 * time.Millisecond
 )
 
-type record struct {
-	running   int
-	load      exchange.Load
-	loadAt    time.Time
-	ownAtLoad int
-	failures  int
-	avoid     time.Time
-	failShare failure.Share
+// upstreamState is what this process knows of an upstream.
+type upstreamState struct {
+	running          int
+	load             exchange.Load
+	loadAt           time.Time
+	ownRunningAtLoad int
+	failuresInRow    int
+	backoffUntil     time.Time
+	failureRate      failure.Share
 }
 
 // Chooser implements flow.Picker.
 type Chooser struct {
-	domain    string
-	ready     func(service string) []roster.Upstream
-	processes func() int
-
-	mu      sync.Mutex
-	records map[string]*record
-	turn    uint64
-	// present is when a service last had an upstream.
-	present map[string]time.Time
+	domain         string
+	readyUpstreams func(service string) []roster.Upstream
+	processCount   func() int
+
+	mu       sync.Mutex
+	states   map[string]*upstreamState
+	rotation uint64
+	// lastPresent is when each service last had an upstream.
+	lastPresent map[string]time.Time
 }
 
-// New returns a chooser for a process in the domain.
+// New returns a chooser for a process in the failure domain.
 func New(domain string, ready func(service string) []roster.Upstream, processes func() int) *Chooser {
-	return &Chooser{domain: domain, ready: ready, processes: processes, records: make(map[string]*record), present: make(map[string]time.Time)}
+	return &Chooser{domain: domain, readyUpstreams: ready, processCount: processes, states: make(map[string]*upstreamState), lastPresent: make(map[string]time.Time)}
 }
 
-func (c *Chooser) record(id string) *record {
-	r := c.records[id]
-	if r == nil {
-		r = &record{failShare: failure.New(failWeight, failHalf)}
-		c.records[id] = r
+func (c *Chooser) state(id string) *upstreamState {
+	state := c.states[id]
+	if state == nil {
+		state = &upstreamState{failureRate: failure.New(failureWeight, failureHalfLife)}
+		c.states[id] = state
 	}
-	return r
+	return state
 }
 
-// Pick implements flow.Picker. It waits only for a service whose upstreams have all
-// just gone.
-func (c *Chooser) Pick(ctx context.Context, now time.Time, a flow.Ask) (flow.Place, error) {
-	ups := c.ready(a.Service)
-	for ; len(ups) == 0 && ctx.Err() == nil && now.Before(c.awaitedUntil(a)); now = now.Add(absentPause) {
-		wait.For(ctx, absentPause)
-		ups = c.ready(a.Service)
+// Pick implements flow.Picker. It waits only if all upstreams of the service have just
+// disappeared.
+func (c *Chooser) Pick(ctx context.Context, now time.Time, req flow.Ask) (flow.Place, error) {
+	upstreams := c.readyUpstreams(req.Service)
+	for ; len(upstreams) == 0 && ctx.Err() == nil && now.Before(c.waitDeadline(req)); now = now.Add(absencePollInterval) {
+		wait.For(ctx, absencePollInterval)
+		upstreams = c.readyUpstreams(req.Service)
 	}
-	if len(ups) > 0 {
-		c.notePresent(now, a.Service)
+	if len(upstreams) > 0 {
+		c.recordPresence(now, req.Service)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	best, found := c.best(now, ups, a, false)
+	best, found := c.cheapest(now, upstreams, req, false)
 	if !found {
-		best, found = c.best(now, ups, a, true)
+		best, found = c.cheapest(now, upstreams, req, true)
 	}
 	if !found {
-		return nil, flow.RefusePlace(noneRetry, "no upstream of the service is left to try")
+		return nil, flow.RefusePlace(noUpstreamRetryAfter, "no upstream of the service is left to try")
 	}
-	r := c.record(best.ID)
-	if c.full(r, best) {
-		return nil, flow.RefusePlace(fullRetry, "all upstreams of the service are full")
+	state := c.state(best.ID)
+	if c.full(state, best) {
+		return nil, flow.RefusePlace(fullRetryAfter, "all upstreams of the service are full")
 	}
-	r.running++
+	state.running++
 	return &place{chooser: c, upstream: best}, nil
 }
 
-// awaitedUntil returns until when a request waits for an upstream of a service that
-// has none.
-func (c *Chooser) awaitedUntil(a flow.Ask) time.Time {
+// waitDeadline returns until when a request waits for an upstream of a service that has
+// none.
+func (c *Chooser) waitDeadline(req flow.Ask) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	until := c.present[a.Service].Add(absentMost)
-	if a.Until.Before(until) {
-		return a.Until
+	deadline := c.lastPresent[req.Service].Add(maxAbsenceWait)
+	if req.Until.Before(deadline) {
+		return req.Until
 	}
-	return until
+	return deadline
 }
 
-func (c *Chooser) notePresent(now time.Time, service string) {
+func (c *Chooser) recordPresence(now time.Time, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.After(c.present[service]) {
-		c.present[service] = now
+	if now.After(c.lastPresent[service]) {
+		c.lastPresent[service] = now
 	}
 }
 
-// Hold counts a place at an upstream that somebody else chose.
+// Hold counts a request at an upstream that was chosen elsewhere.
 func (c *Chooser) Hold(u roster.Upstream) flow.Place {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record(u.ID).running++
+	c.state(u.ID).running++
 	return &place{chooser: c, upstream: u}
 }
 
-// full bounds what this process alone has at one upstream: its even part of
-// the slots and some more, for processes get uneven parts of the callers.
-func (c *Chooser) full(r *record, u roster.Upstream) bool {
-	part := float64(u.Slots) / float64(max(1, c.processes()))
-	return float64(r.running) >= max(2, 2*part+queuePart*float64(u.Slots))
+// full reports whether this process has as many requests at the upstream as it may have:
+// twice its even share of the slots plus queueShare of them, and at least two, because
+// callers are distributed unevenly among the processes.
+func (c *Chooser) full(state *upstreamState, u roster.Upstream) bool {
+	evenShare := float64(u.Slots) / float64(max(1, c.processCount()))
+	return float64(state.running) >= max(2, 2*evenShare+queueShare*float64(u.Slots))
 }
 
-func (c *Chooser) best(now time.Time, ups []roster.Upstream, a flow.Ask, avoided bool) (roster.Upstream, bool) {
-	c.turn++
-	shares := make([]float64, 0, len(ups))
-	for _, u := range ups {
-		shares = append(shares, c.record(u.ID).failShare.At(now))
+// cheapest returns the upstream with the lowest cost. Upstreams that are skipped because of
+// failures are considered only if includeSkipped is set. The order changes with each call, so
+// that equal upstreams take turns.
+func (c *Chooser) cheapest(now time.Time, upstreams []roster.Upstream, req flow.Ask, includeSkipped bool) (roster.Upstream, bool) {
+	c.rotation++
+	rates := make([]float64, 0, len(upstreams))
+	for _, u := range upstreams {
+		rates = append(rates, c.state(u.ID).failureRate.At(now))
 	}
-	usual := failure.Usual(shares)
+	baseline := failure.Usual(rates)
 	var best roster.Upstream
 	var bestCost float64
 	found := false
-	for i := range ups {
-		u := ups[(uint64(i)+c.turn)%uint64(len(ups))]
-		r := c.record(u.ID)
-		if !a.Allows(u.Version) || slices.Contains(a.Exclude, u.ID) || (!avoided && (now.Before(r.avoid) || r.failShare.At(now) > usual+failMargin)) {
+	for i := range upstreams {
+		u := upstreams[(uint64(i)+c.rotation)%uint64(len(upstreams))]
+		state := c.state(u.ID)
+		if !req.Allows(u.Version) || slices.Contains(req.Exclude, u.ID) || (!includeSkipped && (now.Before(state.backoffUntil) || state.failureRate.At(now) > baseline+failureMargin)) {
 			continue
 		}
-		cost := c.cost(now, r, u)
+		cost := c.cost(now, state, u)
 		if !found || cost < bestCost {
 			best, bestCost, found = u, cost, true
 		}
@@ -174,20 +179,21 @@
 	return best, found
 }
 
-// cost is the part of the upstream's slots that is taken.
-func (c *Chooser) cost(now time.Time, r *record, u roster.Upstream) float64 {
-	running := float64(r.running)
-	if now.Sub(r.loadAt) < loadFor {
-		others := float64(r.load.Running + r.load.Waiting - r.ownAtLoad)
-		running += max(0, others)
+// cost returns the share of the upstream's slots in use, by the requests of this process, by
+// those of others that it reported recently, and by the cost of another failure domain.
+func (c *Chooser) cost(now time.Time, state *upstreamState, u roster.Upstream) float64 {
+	running := float64(state.running)
+	if now.Sub(state.loadAt) < loadMaxAge {
+		external := float64(state.load.Running + state.load.Waiting - state.ownRunningAtLoad)
+		running += max(0, external)
 	}
 	if u.Domain != c.domain {
-		running += otherDomain
+		running += crossDomainCost
 	}
 	return running / float64(u.Slots)
 }
 
-// place is one request's place at an upstream.
+// place is the place of one request at an upstream.
 type place struct {
 	chooser  *Chooser
 	upstream roster.Upstream
@@ -200,8 +206,8 @@
 func (p *place) Load(now time.Time, load exchange.Load) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
-	r := p.chooser.record(p.upstream.ID)
-	r.load, r.loadAt, r.ownAtLoad = load, now, r.running
+	state := p.chooser.state(p.upstream.ID)
+	state.load, state.loadAt, state.ownRunningAtLoad = load, now, state.running
 }
 
 // Started implements flow.Place.
@@ -211,22 +217,22 @@
 func (p *place) Done(now time.Time, o flow.Outcome, _ int) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
-	r := p.chooser.record(p.upstream.ID)
-	r.running--
+	state := p.chooser.state(p.upstream.ID)
+	state.running--
 	switch o {
 	case flow.Answered:
-		r.failures = 0
-		r.failShare.Succeeded(now)
+		state.failuresInRow = 0
+		state.failureRate.Succeeded(now)
 	case flow.Failed:
-		r.failures = 0
-		r.failShare.Failed(now)
+		state.failuresInRow = 0
+		state.failureRate.Failed(now)
 	case flow.Broken:
-		r.failShare.Broke(now)
+		state.failureRate.Broke(now)
 	case flow.Declined:
-		r.failShare.Failed(now)
+		state.failureRate.Failed(now)
 	case flow.Unreached:
-		r.failures++
-		r.avoid = now.Add(min(avoidMost, avoidFirst<<min(r.failures-1, 4)))
+		state.failuresInRow++
+		state.backoffUntil = now.Add(min(maxBackoff, minBackoff<<min(state.failuresInRow-1, 4)))
 	case flow.Left:
 	}
 }
