--- a/internal/sched/board/engine.go
+++ b/internal/sched/board/engine.go
@@ -156,13 +156,13 @@
 func (e *engine) firstEvent(now time.Time, prompt int) time.Duration {
 	running := e.running(now)
 	step := fromMs(profile.StepTime(running+1) * e.slowness.factor)
-	return e.timing.fixedLatency + e.prefillWait(now) + e.prefillTime(profile.Prefill(prompt, running)) + step
+	return e.timing.fixedLatency + e.prefillWait(now) + e.prefillTime(profile.PrefillMs(prompt, running)) + step
 }
 
 // idleFirstEvent returns the time to the first event of a prompt on the idle engine.
 func (e *engine) idleFirstEvent(prompt int) time.Duration {
 	step := fromMs(profile.StepTime(1) * e.slowness.factor)
-	return e.timing.fixedLatency + e.prefillTime(profile.Prefill(prompt, 1)) + step
+	return e.timing.fixedLatency + e.prefillTime(profile.PrefillMs(prompt, 1)) + step
 }
 
 // decodeTime returns how long the engine takes to generate the tokens when all slots are
@@ -175,7 +175,7 @@
 func (e *engine) assign(now time.Time, r *run) {
 	e.advanceRunMs(now)
 	e.grantCount++
-	r.prefillMs, r.solePrefill, r.grantIndex = profile.Prefill(r.prompt, len(e.runs)), e.prefillWait(now) == 0, e.grantCount
+	r.prefillMs, r.solePrefill, r.grantIndex = profile.PrefillMs(r.prompt, len(e.runs)), e.prefillWait(now) == 0, e.grantCount
 	r.expectedAt = now.Add(e.firstEvent(now, r.prompt))
 	e.prefillUntil = now.Add(e.prefillWait(now) + e.prefillTime(r.prefillMs))
 	e.assignedPrefillMs += r.prefillMs
@@ -211,7 +211,7 @@
 	remainingMs := 0.0
 	for _, other := range e.runs {
 		if !other.started && other != r {
-			remainingMs += profile.Prefill(other.prompt, len(e.runs))
+			remainingMs += profile.PrefillMs(other.prompt, len(e.runs))
 		}
 	}
 	until := now.Add(e.prefillTime(remainingMs))
--- a/internal/sched/board/learned.go
+++ b/internal/sched/board/learned.go
@@ -95,7 +95,7 @@
 	}
 	e.advanceRunMs(now)
 	concurrent := (e.runMs - r.runMsAtStart) / elapsed
-	decodeMs := float64(tokens) * (profile.Step + profile.StepPerRun*concurrent)
+	decodeMs := float64(tokens) * (profile.BaseStepMs + profile.StepPerRunMs*concurrent)
 	ordinaryMs := decodeMs + (e.assignedPrefillMs-r.prefillMsAtStart)*e.timing.prefillFactor
 	weight := decodeMs / ordinaryMs * float64(tokens) / float64(tokens+halfWeightTokens)
 	e.slowness.observe(ms(took)/ordinaryMs, weight)
--- a/internal/sched/board/place.go
+++ b/internal/sched/board/place.go
@@ -152,7 +152,7 @@
 	if firstEvent > available {
 		return 0, false
 	}
-	gap := profile.Gap(max(1, e.EventTokens), running+1, e.prefillBacklog+req.Prompt, e.timing.prefillFactor) * e.slowness.factor
+	gap := profile.EventGapMs(max(1, e.EventTokens), running+1, e.prefillBacklog+req.Prompt, e.timing.prefillFactor) * e.slowness.factor
 	if running > 0 && req.MaxGap > 0 && gap > maxGapShare*ms(req.MaxGap) {
 		return 0, false
 	}
