--- a/internal/sched/board/board.go
+++ b/internal/sched/board/board.go
@@ -238,7 +238,7 @@
 	case Failed:
 		e.failureRate.Failed(now)
 	case Broken:
-		e.failureRate.Broke(now)
+		e.failureRate.Broken(now)
 	case Declined:
 		e.recordLoad(now, e.Slots)
 	case Unreached:
--- a/internal/sched/board/engine.go
+++ b/internal/sched/board/engine.go
@@ -81,7 +81,7 @@
 
 	failuresInRow int
 	backoffUntil  time.Time
-	failureRate   failure.Share
+	failureRate   failure.Rate
 
 	// external is the number of requests that the engine reported beyond those of this
 	// scheduler. shared is set if other schedulers use the engine too.
--- a/internal/sched/board/place.go
+++ b/internal/sched/board/place.go
@@ -115,7 +115,7 @@
 	for _, e := range engines {
 		rates = append(rates, e.failureRate.At(now))
 	}
-	baseline = failureBaseline{rate: failure.Usual(rates), at: now}
+	baseline = failureBaseline{rate: failure.Baseline(rates), at: now}
 	s.baselines[service] = baseline
 	return baseline.rate
 }
--- a/internal/sched/failure/failure.go
+++ b/internal/sched/failure/failure.go
@@ -1,5 +1,5 @@
-// Package failure keeps what share of an upstream's outcomes were failures of
-// late, for the scheduler and for a gateway that chooses by itself.
+// Package failure keeps the recent failure rate of an upstream, for the scheduler and for
+// a gateway that chooses upstreams locally.
 package failure
 
 import (
@@ -8,69 +8,71 @@
 	"time"
 )
 
-// brokenApart is the span in which connections that break count as one failure.
-// A network that resets what is open, like an engine that starts anew, ends some
-// ten streams in one millisecond, and they say no more of the upstream than one
-// of them. Taken one by one, they would leave sound engines idle while callers
-// are refused.
-const brokenApart = 150 * time.Millisecond
+// brokenWindow is the time within which broken connections count as one failure. A network
+// fault that resets all open connections, like the restart of an engine, ends about ten
+// streams within a millisecond, which says no more about the upstream than one broken
+// stream. Counted one by one, they would leave healthy engines idle while callers are
+// refused.
+const brokenWindow = 150 * time.Millisecond
 
-// Share is a failure share. It halves with time, so that an upstream that was
-// left is tried again.
-type Share struct {
-	// weight is one outcome's, half the time in which the share halves.
-	weight float64
-	half   time.Duration
+// Rate is an exponentially weighted failure rate. It decays with time, so that an upstream
+// that was skipped is tried again.
+type Rate struct {
+	// weight is the weight of one outcome, and halfLife the half-life of the rate.
+	weight   float64
+	halfLife time.Duration
 
-	value float64
-	at    time.Time
-	// brokeAt is when a broken connection was last counted.
-	brokeAt time.Time
+	value     float64
+	updatedAt time.Time
+	// brokenAt is when a broken connection was last counted.
+	brokenAt time.Time
 }
 
-// New returns a share of no failures.
-func New(weight float64, half time.Duration) Share { return Share{weight: weight, half: half} }
+// New returns a rate without failures.
+func New(weight float64, halfLife time.Duration) Rate {
+	return Rate{weight: weight, halfLife: halfLife}
+}
 
-// At returns the share at the moment.
-func (s *Share) At(now time.Time) float64 {
-	if s.value == 0 {
+// At returns the rate at the given time.
+func (r *Rate) At(now time.Time) float64 {
+	if r.value == 0 {
 		return 0
 	}
-	return s.value * math.Exp2(-now.Sub(s.at).Seconds()/s.half.Seconds())
+	return r.value * math.Exp2(-now.Sub(r.updatedAt).Seconds()/r.halfLife.Seconds())
 }
 
 // Succeeded counts a success.
-func (s *Share) Succeeded(now time.Time) { s.count(now, 0) }
+func (r *Rate) Succeeded(now time.Time) { r.observe(now, 0) }
 
 // Failed counts a failure.
-func (s *Share) Failed(now time.Time) { s.count(now, 1) }
+func (r *Rate) Failed(now time.Time) { r.observe(now, 1) }
 
-// Broke counts a connection that ended before its answer, unless others of the
-// same moment were counted.
-func (s *Share) Broke(now time.Time) {
-	if now.Sub(s.brokeAt) < brokenApart {
+// Broken counts a connection that was closed before the answer was complete, unless
+// another one was counted within brokenWindow.
+func (r *Rate) Broken(now time.Time) {
+	if now.Sub(r.brokenAt) < brokenWindow {
 		return
 	}
-	s.brokeAt = now
-	s.Failed(now)
+	r.brokenAt = now
+	r.Failed(now)
 }
 
-func (s *Share) count(now time.Time, failed float64) {
-	s.value = (1-s.weight)*s.At(now) + s.weight*failed
-	s.at = now
+func (r *Rate) observe(now time.Time, outcome float64) {
+	r.value = (1-r.weight)*r.At(now) + r.weight*outcome
+	r.updatedAt = now
 }
 
-// Usual returns the share that a quarter of the upstreams does not exceed. Of many
-// that fail alike, the least share is far below the others by luck; measured by
-// that, most would be left.
-func Usual(shares []float64) float64 {
-	if len(shares) == 0 {
+// Baseline returns the rate that at least a quarter of the upstreams do not exceed. The
+// lowest rate would not do: among many upstreams that fail equally, it is far below the
+// others by chance, and most would be skipped. It sorts rates.
+func Baseline(rates []float64) float64 {
+	if len(rates) == 0 {
 		return 0
 	}
-	slices.Sort(shares)
-	return shares[len(shares)/usualPart]
+	slices.Sort(rates)
+	return rates[len(rates)/baselineDivisor]
 }
 
-// usualPart is the part of the upstreams by which the others are measured, as its
-// inverse.
-const usualPart = 4
+// baselineDivisor is the inverse of the share of the upstreams that do not exceed the
+// baseline.
+const baselineDivisor = 4
--- a/internal/sched/local/local.go
+++ b/internal/sched/local/local.go
@@ -58,7 +58,7 @@
 	ownRunningAtLoad int
 	failuresInRow    int
 	backoffUntil     time.Time
-	failureRate      failure.Share
+	failureRate      failure.Rate
 }
 
 // Chooser implements flow.Picker.
@@ -161,7 +161,7 @@
 	for _, u := range upstreams {
 		rates = append(rates, c.state(u.ID).failureRate.At(now))
 	}
-	baseline := failure.Usual(rates)
+	baseline := failure.Baseline(rates)
 	var best roster.Upstream
 	var bestCost float64
 	found := false
@@ -227,7 +227,7 @@
 		state.failuresInRow = 0
 		state.failureRate.Failed(now)
 	case flow.Broken:
-		state.failureRate.Broke(now)
+		state.failureRate.Broken(now)
 	case flow.Declined:
 		state.failureRate.Failed(now)
 	case flow.Unreached:
