--- a/internal/sched/board/ask.go
+++ b/internal/sched/board/ask.go
@@ -25,8 +25,7 @@
 	Ending  Ending
 	MaxGap  time.Duration
 	Exclude []string
-	// Only and Not restrict the version of the engine. An empty string does not restrict
-	// it.
+	// Required and excluded version of the engine. An empty string does not restrict it.
 	Only, Not string
 	// Again is set if the request was sent to an engine before. Such requests go first.
 	Again bool
@@ -73,7 +72,7 @@
 // End describes how the use of a slot ended.
 type End struct {
 	Outcome Outcome
-	// Number is the number of the slot request or slot. 0 matches any of the request.
+	// Number is the number of the slot request or granted slot. 0 matches any of the request.
 	Number uint64
 	// Stream is the time from the first event to the last, and Tokens the number of tokens
 	// generated in that time.
--- a/internal/sched/board/memory.go
+++ b/internal/sched/board/memory.go
@@ -20,8 +20,8 @@
 	// Overrun is by what factor streams may overrun their planned time, 0 if none has
 	// ended yet.
 	Overrun float64
-	// Reading is by what factor prefill is slower than the decoding speed suggests, and
-	// Fixed the part of the first-event latency that does not depend on the engine.
+	// Factor by which prefill is slower than the decoding speed suggests, and the part of
+	// the first-event latency that does not depend on the engine.
 	Reading float64
 	Fixed   time.Duration
 }
--- a/internal/sched/board/speeds_test.go
+++ b/internal/sched/board/speeds_test.go
@@ -38,7 +38,7 @@
 	require.Empty(t, b.Speeds())
 }
 
-// learn makes the scheduler learn the engine's slowness from a stream of 100 tokens.
+// learnSlowness makes the scheduler learn the engine's slowness from a stream of 100 tokens.
 func learnSlowness(b *board.Board, engine string, slowness float64) {
 	a := newSlotRequest(startTime, "learner", engine)
 	for _, other := range []string{"e0", "e1"} {
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -186,7 +186,7 @@
 		delete(c.pending, req.ID)
 		c.mu.Unlock()
 	}()
-	if !c.sendTo(scheduler, c.askMessage(p.number, req)) {
+	if !c.sendTo(scheduler, c.slotRequestMessage(p.number, req)) {
 		return decision{}, false
 	}
 	askedAt := c.Now()
@@ -224,7 +224,7 @@
 	}
 }
 
-func (c *Client) askMessage(number uint64, req flow.Ask) *wire.Envelope {
+func (c *Client) slotRequestMessage(number uint64, req flow.Ask) *wire.Envelope {
 	now := c.Now()
 	return &wire.Envelope{Body: &wire.Envelope_PlaceAsk{PlaceAsk: &wire.PlaceAsk{
 		Id: req.ID, Number: number, Service: req.Service, Tier: uint32(req.Tier), Domain: c.Domain,
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -14,7 +14,7 @@
 func Serve(now time.Time, g *granter.Granter, owner string, e *wire.Envelope) bool {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceAsk:
-		g.Ask(decodeAsk(now, owner, body.PlaceAsk))
+		g.Ask(decodeSlotRequest(now, owner, body.PlaceAsk))
 	case *wire.Envelope_PlaceStarted:
 		reported := -1
 		if body.PlaceStarted.LoadKnown {
@@ -22,16 +22,16 @@
 		}
 		g.Started(owner, body.PlaceStarted.Id, reported)
 	case *wire.Envelope_PlaceEnded:
-		g.Ended(owner, body.PlaceEnded.Id, decodeEnd(body.PlaceEnded))
+		g.Ended(owner, body.PlaceEnded.Id, decodeResult(body.PlaceEnded))
 	case *wire.Envelope_PlacesHeld:
-		g.Reconcile(owner, decodeHeld(body.PlacesHeld))
+		g.Reconcile(owner, decodeHeldSlots(body.PlacesHeld))
 	default:
 		return false
 	}
 	return true
 }
 
-func decodeAsk(now time.Time, owner string, a *wire.PlaceAsk) board.Ask {
+func decodeSlotRequest(now time.Time, owner string, a *wire.PlaceAsk) board.Ask {
 	return board.Ask{
 		Owner: owner, ID: a.Id, Number: a.Number, Service: a.Service, Domain: a.Domain, Tier: int(a.Tier),
 		Due:    now.Add(time.Duration(a.DueMs) * time.Millisecond),
@@ -63,7 +63,7 @@
 	return wire.PlaceAsk_OPEN
 }
 
-func decodeHeld(h *wire.PlacesHeld) []board.HeldSlot {
+func decodeHeldSlots(h *wire.PlacesHeld) []board.HeldSlot {
 	held := make([]board.HeldSlot, 0, len(h.Places))
 	for _, p := range h.Places {
 		held = append(held, board.HeldSlot{
@@ -73,7 +73,7 @@
 	return held
 }
 
-func decodeEnd(e *wire.PlaceEnded) board.End {
+func decodeResult(e *wire.PlaceEnded) board.End {
 	return board.End{
 		Outcome: board.Outcome(e.Outcome), Number: e.Number, Stream: time.Duration(e.StreamUs) * time.Microsecond, Tokens: int(e.Tokens),
 	}
