--- a/internal/sched/board/ask.go
+++ b/internal/sched/board/ask.go
@@ -39,7 +39,8 @@
 	refusedBefore bool
 }
 
-// Verdict is the decision on a slot request. Upstream is empty in a refusal.
+// Verdict grants, queues or refuses a slot request. Upstream is empty unless a slot is
+// granted.
 type Verdict struct {
 	Owner, ID  string
 	Number     uint64
--- a/internal/sched/board/board.go
+++ b/internal/sched/board/board.go
@@ -22,7 +22,8 @@
 	EventTokens int
 }
 
-// Board is the state of a scheduler. It is not safe for concurrent use.
+// Board holds the state of all engines and waiting requests. It is not safe for concurrent
+// use.
 type Board struct {
 	engines map[string]*engine
 	// byService holds the engines of each service, sorted by ID.
@@ -135,7 +136,7 @@
 	}
 }
 
-// Ask submits a request for a slot.
+// Ask grants the request a slot on a suitable engine, or otherwise queues or refuses it.
 func (s *Board) Ask(now time.Time, request Ask) {
 	req := &request
 	if s.superseded(req) {
@@ -210,7 +211,7 @@
 	s.fill(now, e)
 }
 
-// Ended releases a slot or withdraws a waiting request.
+// Ended ends the use of a slot, or withdraws a waiting request.
 func (s *Board) Ended(now time.Time, owner, id string, end End) {
 	k := runKey(owner, id)
 	s.withdraw(owner, id, end.Number)
--- a/internal/sched/board/return_test.go
+++ b/internal/sched/board/return_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, 1, countGranted(b.Verdicts()))
 }
 
-// Guards against slots that stay in use for good when their gateway goes down while the
+// Guards against slots that stay in use permanently when their gateway goes down while the
 // registration of their engine has lapsed.
 func TestRunsOfADroppedGatewayEndOnARelistedEngine(t *testing.T) {
 	b := board.New()
--- a/internal/sched/board/sync.go
+++ b/internal/sched/board/sync.go
@@ -16,7 +16,7 @@
 
 // Reconcile compares the runs of a gateway with all slots that it holds. A scheduler
 // change is not coordinated, so a slot may be released to another scheduler than the one
-// that granted it. Here the slot would stay in use for good, and the engine would look
+// that granted it. Here the slot would stay in use permanently, and the engine would look
 // stalled because no one reports the first event. Runs that the gateway does not hold are
 // removed, and slots granted by another scheduler are added.
 func (s *Board) Reconcile(now time.Time, owner string, held []HeldSlot) {
--- a/internal/sched/granter/granter.go
+++ b/internal/sched/granter/granter.go
@@ -128,7 +128,7 @@
 	g.scheduler.Take(m)
 }
 
-// Ask submits a request for a slot.
+// Ask grants a slot to the request, queues the request or refuses it.
 func (g *Granter) Ask(a board.Ask) {
 	g.update(func(s *board.Board, now time.Time) { s.Ask(now, a) })
 }
@@ -144,7 +144,7 @@
 	g.update(func(s *board.Board, now time.Time) { s.Started(now, owner, id, reported) })
 }
 
-// Ended releases a slot or withdraws a waiting request.
+// Ended ends the use of a slot, or withdraws a waiting request.
 func (g *Granter) Ended(owner, id string, end board.End) {
 	g.update(func(s *board.Board, now time.Time) { s.Ended(now, owner, id, end) })
 }
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -250,8 +250,9 @@
 	}
 }
 
-// Verdict handles a decision of a scheduler. A slot granted after its slot request was
-// abandoned is released by its number, because the request may have another slot by then.
+// Verdict passes a scheduler's decision to the request that waits for it. A slot granted
+// after its slot request was abandoned is released by its number, because the request may
+// have another slot by then.
 func (c *Client) Verdict(v *wire.PlaceVerdict) {
 	c.mu.Lock()
 	p := c.pending[v.Id]
@@ -299,7 +300,7 @@
 
 // TellHeld reports all held slots to the scheduler. It is repeated regularly because a
 // message may be lost, and because a slot granted by a gateway that was the scheduler for
-// a moment would otherwise stay in use there for good.
+// a moment would otherwise stay in use there permanently.
 func (c *Client) TellHeld(now time.Time) {
 	scheduler := c.Scheduler(now)
 	if scheduler == "" {
