--- a/internal/sched/board/place.go
+++ b/internal/sched/board/place.go
@@ -115,7 +115,7 @@
 	for _, e := range engines {
 		rates = append(rates, e.failureRate.At(now))
 	}
-	baseline = failureBaseline{rate: failure.Usual(rates), at: now}
+	baseline = failureBaseline{rate: failure.Baseline(rates), at: now}
 	s.baselines[service] = baseline
 	return baseline.rate
 }
@@ -152,7 +152,7 @@
 	if firstEvent > available {
 		return 0, false
 	}
-	gap := profile.Gap(max(1, e.EventTokens), running+1, e.prefillBacklog+req.Prompt, e.timing.prefillFactor) * e.slowness.factor
+	gap := profile.EventGapMs(max(1, e.EventTokens), running+1, e.prefillBacklog+req.Prompt, e.timing.prefillFactor) * e.slowness.factor
 	if running > 0 && req.MaxGap > 0 && gap > maxGapShare*ms(req.MaxGap) {
 		return 0, false
 	}
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -186,7 +186,7 @@
 		delete(c.pending, req.ID)
 		c.mu.Unlock()
 	}()
-	if !c.sendTo(scheduler, c.askMessage(p.number, req)) {
+	if !c.sendTo(scheduler, c.slotRequestMessage(p.number, req)) {
 		return decision{}, false
 	}
 	askedAt := c.Now()
@@ -224,7 +224,7 @@
 	}
 }
 
-func (c *Client) askMessage(number uint64, req flow.Ask) *wire.Envelope {
+func (c *Client) slotRequestMessage(number uint64, req flow.Ask) *wire.Envelope {
 	now := c.Now()
 	return &wire.Envelope{Body: &wire.Envelope_PlaceAsk{PlaceAsk: &wire.PlaceAsk{
 		Id: req.ID, Number: number, Service: req.Service, Tier: uint32(req.Tier), Domain: c.Domain,
@@ -250,8 +250,9 @@
 	}
 }
 
-// Verdict handles a decision of a scheduler. A slot granted after its slot request was
-// abandoned is released by its number, because the request may have another slot by then.
+// Verdict passes a scheduler's decision to the request that waits for it. A slot granted
+// after its slot request was abandoned is released by its number, because the request may
+// have another slot by then.
 func (c *Client) Verdict(v *wire.PlaceVerdict) {
 	c.mu.Lock()
 	p := c.pending[v.Id]
@@ -299,7 +300,7 @@
 
 // TellHeld reports all held slots to the scheduler. It is repeated regularly because a
 // message may be lost, and because a slot granted by a gateway that was the scheduler for
-// a moment would otherwise stay in use there for good.
+// a moment would otherwise stay in use there permanently.
 func (c *Client) TellHeld(now time.Time) {
 	scheduler := c.Scheduler(now)
 	if scheduler == "" {
