--- a/internal/trial/soak/backend_test.go
+++ b/internal/trial/soak/backend_test.go
@@ -22,99 +22,102 @@
 const (
 	attemptHeader  = "X-Persimmonridge-Attempt-Id"
 	instanceHeader = "X-Persimmonridge-Expect-Instance"
-	// streamEvents and eventEvery make a stream last for some 300 ms.
-	streamEvents = 20
-	eventEvery   = 15 * time.Millisecond
-	workTime     = 10 * time.Millisecond
-	slots        = 8
+	// streamEvents and eventInterval make a stream last about 300 ms.
+	streamEvents  = 20
+	eventInterval = 15 * time.Millisecond
+	responseTime  = 10 * time.Millisecond
+	slots         = 8
 )
 
-// sickness is how an upstream misbehaves.
-type sickness int32
+// failureMode is the way in which an upstream misbehaves.
+type failureMode int32
 
 const (
-	well sickness = iota
-	// failing: half of the answers are failures.
+	healthy failureMode = iota
+	// failing upstreams answer half of the requests with a failure.
 	failing
-	// torn: half of the answers break off in the middle.
-	torn
-	// extra: bytes follow each answer that belong to nobody.
-	extra
-	// dark: nothing is answered.
-	dark
+	// truncating upstreams close the connection in the middle of half of the
+	// answers.
+	truncating
+	// trailingBytes upstreams send bytes after each answer that belong to no
+	// request.
+	trailingBytes
+	// unresponsive upstreams answer nothing.
+	unresponsive
 )
 
-// ledger is what reached the upstreams and what they ran, by request.
-type ledger struct {
-	mu   sync.Mutex
-	seen map[string][]*upstream
-	runs map[string][]ran
+// requestLog records which upstreams received and executed each request, by
+// attempt ID.
+type requestLog struct {
+	mu         sync.Mutex
+	receivers  map[string][]*upstream
+	executions map[string][]execution
 }
 
-func newLedger() *ledger {
-	return &ledger{seen: make(map[string][]*upstream), runs: make(map[string][]ran)}
+func newRequestLog() *requestLog {
+	return &requestLog{receivers: make(map[string][]*upstream), executions: make(map[string][]execution)}
 }
 
-// ran is one run of a request.
-type ran struct {
+// execution is one execution of a request by an upstream.
+type execution struct {
 	at       time.Time
 	upstream string
 	body     string
 	path     string
 }
 
-func (l *ledger) see(id string, u *upstream) {
+func (l *requestLog) recordReceiver(id string, u *upstream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seen[id] = append(l.seen[id], u)
+	l.receivers[id] = append(l.receivers[id], u)
 }
 
-func (l *ledger) seenBy(id string) []*upstream {
+func (l *requestLog) receiversOf(id string) []*upstream {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.seen[id])
+	return slices.Clone(l.receivers[id])
 }
 
-func (l *ledger) add(id string, r ran) {
+func (l *requestLog) recordExecution(id string, e execution) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.runs[id] = append(l.runs[id], r)
+	l.executions[id] = append(l.executions[id], e)
 }
 
-func (l *ledger) of(id string) []ran {
+func (l *requestLog) executionsOf(id string) []execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]ran(nil), l.runs[id]...)
+	return append([]execution(nil), l.executions[id]...)
 }
 
-// upstream is a stand-in that gateways reach by a relay.
+// upstream is a stand-in for an upstream, which gateways reach through a relay.
 type upstream struct {
-	service string
-	ledger  *ledger
-	server  *http.Server
-	relay   *relay.Relay
-	store   registrar
-	// harms are when it was made to break off.
-	harms harms
-
-	mu       sync.Mutex
-	id       string
-	up       bool
-	state    string
-	sequence int
-	leftAt   time.Time
-	sick     atomic.Int32
-	running  atomic.Int32
-	conns    map[net.Conn]struct{}
+	service    string
+	requestLog *requestLog
+	server     *http.Server
+	relay      *relay.Relay
+	store      registry
+	// disruptions are the times in which faults make it lose requests or answers.
+	disruptions disruptions
+
+	mu            sync.Mutex
+	id            string
+	up            bool
+	state         string
+	sequence      int
+	drainingSince time.Time
+	failureMode   atomic.Int32
+	running       atomic.Int32
+	conns         map[net.Conn]struct{}
 }
 
-// registrar is the store as upstreams use it.
-type registrar interface {
+// registry is the part of the store that upstreams use.
+type registry interface {
 	Put(key, value string) int64
 	Remove(key string)
 }
 
-func newUpstream(service, id, address string, l *ledger, store registrar) (*upstream, error) {
+func newUpstream(service, id, address string, log *requestLog, store registry) (*upstream, error) {
 	inner, err := net.Listen("tcp", net.JoinHostPort(address, "9001"))
 	if err != nil {
 		return nil, err
@@ -123,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	u := &upstream{service: service, id: id, up: true, state: "ready", ledger: l, store: store, conns: make(map[net.Conn]struct{})}
+	u := &upstream{service: service, id: id, up: true, state: "ready", requestLog: log, store: store, conns: make(map[net.Conn]struct{})}
 	u.server = &http.Server{Handler: u, ConnState: u.connState}
 	go func() { _ = u.server.Serve(inner) }()
 	u.relay = relay.New(outer, inner.Addr().String())
@@ -141,7 +144,7 @@
 	u.conns[c] = struct{}{}
 }
 
-// register writes the heartbeat of an upstream that is up.
+// register writes the heartbeat of an upstream, if it is up.
 func (u *upstream) register() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -154,7 +157,8 @@
 		u.service, u.relay.Addr(), slots, u.state, u.sequence))
 }
 
-// crash ends all connections; the upstream comes back as another one.
+// crash closes all connections and takes the upstream down. Its registration
+// remains in the store for 3 s.
 func (u *upstream) crash() {
 	u.mu.Lock()
 	u.up = false
@@ -173,14 +177,14 @@
 	u.register()
 }
 
-// leave announces that the upstream gets nothing more; it serves on for a while.
-func (u *upstream) leave() {
+// drain announces that the upstream accepts no new requests. It keeps serving.
+func (u *upstream) drain() {
 	u.mu.Lock()
 	u.state = "draining"
 	u.mu.Unlock()
 	u.register()
 	u.mu.Lock()
-	u.leftAt = time.Now()
+	u.drainingSince = time.Now()
 	u.mu.Unlock()
 }
 
@@ -193,7 +197,7 @@
 // ServeHTTP implements http.Handler.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	attempt := r.Header.Get(attemptHeader)
-	u.ledger.see(attempt, u)
+	u.requestLog.recordReceiver(attempt, u)
 	id, up := u.identity()
 	body, err := io.ReadAll(r.Body)
 	if err != nil || !up {
@@ -214,59 +218,59 @@
 		return
 	}
 	defer u.running.Add(-1)
-	u.ledger.add(attempt, ran{at: time.Now(), upstream: id, body: string(body), path: r.URL.Path})
+	u.requestLog.recordExecution(attempt, execution{at: time.Now(), upstream: id, body: string(body), path: r.URL.Path})
 	w.Header().Set(names.Seal, "seal-"+attempt)
 	u.run(w, r, attempt)
 }
 
 func (u *upstream) run(w http.ResponseWriter, r *http.Request, attempt string) {
-	sick := sickness(u.sick.Load())
-	if sick == dark {
+	mode := failureMode(u.failureMode.Load())
+	if mode == unresponsive {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
 	id, _ := u.identity()
-	unlucky := xxhash.Sum64String(attempt+id)%2 == 0
-	if sick == failing && unlucky {
+	affected := xxhash.Sum64String(attempt+id)%2 == 0
+	if mode == failing && affected {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	if strings.HasPrefix(r.URL.Path, "/stream") || strings.HasPrefix(r.URL.Path, "/once") {
-		u.stream(w, r, attempt, sick == torn && unlucky)
+		u.stream(w, r, attempt, mode == truncating && affected)
 	} else {
-		u.plain(w, r, attempt, sick == torn && unlucky)
-		if sick == extra {
-			u.spill(w)
+		u.plain(w, r, attempt, mode == truncating && affected)
+		if mode == trailingBytes {
+			u.writeTrailingBytes(w)
 		}
 	}
 }
 
-func (u *upstream) plain(w http.ResponseWriter, r *http.Request, attempt string, tear bool) {
-	pause(r.Context(), workTime)
-	answer := wholeAnswer(attempt)
+func (u *upstream) plain(w http.ResponseWriter, r *http.Request, attempt string, truncate bool) {
+	pause(r.Context(), responseTime)
+	answer := expectedAnswer(attempt)
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	if tear {
+	if truncate {
 		answer = answer[:len(answer)/2]
 	}
 	_, _ = io.WriteString(w, answer)
-	if tear {
+	if truncate {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// wholeAnswer is the body that belongs to a request.
-func wholeAnswer(attempt string) string { return "done " + attempt + strings.Repeat(".", 100) }
+// expectedAnswer returns the complete body of a plain answer to a request.
+func expectedAnswer(attempt string) string { return "done " + attempt + strings.Repeat(".", 100) }
 
-func (u *upstream) stream(w http.ResponseWriter, r *http.Request, attempt string, tear bool) {
+func (u *upstream) stream(w http.ResponseWriter, r *http.Request, attempt string, truncate bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	for i := from + 1; i <= streamEvents; i++ {
-		pause(r.Context(), eventEvery)
+		pause(r.Context(), eventInterval)
 		if r.Context().Err() != nil {
 			panic(http.ErrAbortHandler)
 		}
-		text := event(attempt, i)
-		if tear && i == streamEvents/2 {
+		text := eventText(attempt, i)
+		if truncate && i == streamEvents/2 {
 			_, _ = io.WriteString(w, text[:len(text)/2])
 			panic(http.ErrAbortHandler)
 		}
@@ -279,12 +283,12 @@
 	}
 }
 
-func event(attempt string, i int) string {
+func eventText(attempt string, i int) string {
 	return fmt.Sprintf("id: %d\ndata: %s:%d\n\n", i, attempt, i)
 }
 
-// spill sends bytes after the answer that belong to no request.
-func (u *upstream) spill(w http.ResponseWriter) {
+// writeTrailingBytes sends a response after the answer that belongs to no request.
+func (u *upstream) writeTrailingBytes(w http.ResponseWriter) {
 	controller := http.NewResponseController(w)
 	if err := controller.Flush(); err != nil {
 		return
--- a/internal/trial/soak/caller_test.go
+++ b/internal/trial/soak/caller_test.go
@@ -16,22 +16,21 @@
 type kind struct {
 	name, method, path string
 	stream             bool
-	// once requests may run once at most.
-	once bool
+	// atMostOnce requests must not be executed more than once.
+	atMostOnce bool
 }
 
 var kinds = []kind{
-	{name: "book", method: http.MethodPost, path: "/book/x", once: true},
+	{name: "book", method: http.MethodPost, path: "/book/x", atMostOnce: true},
 	{name: "read", method: http.MethodGet, path: "/read/x"},
 	{name: "stream", method: http.MethodPost, path: "/stream/x", stream: true},
-	{name: "once", method: http.MethodPost, path: "/once/x", stream: true, once: true},
+	{name: "once", method: http.MethodPost, path: "/once/x", stream: true, atMostOnce: true},
 }
 
-// callerPatience is how long a caller waits; patienceSlack is what it takes to
-// notice that it is over.
-const callerPatience = 3 * time.Second
+// callerTimeout is how long a caller waits for an answer.
+const callerTimeout = 3 * time.Second
 
-// call is one request and what its caller saw.
+// call is one request and its result as observed by the caller.
 type call struct {
 	id      string
 	kind    kind
@@ -41,104 +40,105 @@
 	ended   time.Time
 	status  int
 	body    string
-	// err is why there is no whole answer.
+	// err is the reason why the answer is not complete.
 	err error
-	// rested is how long the connection was not used before.
-	rested time.Duration
-	// unsent calls never reached a process: nothing listened.
-	unsent bool
+	// idleBefore is how long the connection was idle before the call.
+	idleBefore time.Duration
+	// notConnected is true if the connection could not be opened, so that the call
+	// reached no process.
+	notConnected bool
 }
 
-// caller sends one request after the other to one gateway, on one connection
-// for as long as it lives.
+// caller sends requests to one gateway one after another and reuses its connection
+// for as long as it is open.
 type caller struct {
-	world   *world
+	testbed *testbed
 	number  int
 	gateway int
 	random  *rand.Rand
 	conn    net.Conn
 	reader  *bufio.Reader
 	sent    int
-	// usedUntil is the end of the last call.
-	usedUntil time.Time
+	// lastUsedAt is the end of the previous call.
+	lastUsedAt time.Time
 }
 
-func newCaller(w *world, number int) *caller {
+func newCaller(tb *testbed, number int) *caller {
 	return &caller{
-		world: w, number: number, gateway: number % gateways,
-		random: rand.New(rand.NewPCG(w.seed, uint64(number)+1000)),
+		testbed: tb, number: number, gateway: number % gateways,
+		random: rand.New(rand.NewPCG(tb.seed, uint64(number)+1000)),
 	}
 }
 
-// run calls until the world's callers are to end.
+// run sends requests until the testbed stops its callers.
 func (c *caller) run() {
-	defer c.drop()
-	for !c.world.over() {
+	defer c.closeConnection()
+	for !c.testbed.stopping() {
 		k := kinds[c.random.IntN(len(kinds))]
-		c.world.note(c.call(k, k.path))
+		c.testbed.recordCall(c.call(k, k.path))
 		<-time.After(time.Duration(5+c.random.IntN(60)) * time.Millisecond)
 	}
 }
 
-func (c *caller) drop() {
+func (c *caller) closeConnection() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// call makes one call. Callers go on using an open connection until its other
-// end closes it; a request that crosses that is not sent again.
+// call sends one request. Callers keep using a connection until the gateway closes
+// it; a request that is sent at the same time is not sent again.
 func (c *caller) call(k kind, path string) call {
 	c.sent++
-	made := call{id: fmt.Sprintf("%016x", c.world.seed<<40|uint64(c.number)<<24|uint64(c.sent)), kind: k, path: path, gateway: c.gateway, sent: time.Now()}
+	result := call{id: fmt.Sprintf("%016x", c.testbed.seed<<40|uint64(c.number)<<24|uint64(c.sent)), kind: k, path: path, gateway: c.gateway, sent: time.Now()}
 	if c.conn != nil {
-		made.rested = made.sent.Sub(c.usedUntil)
+		result.idleBefore = result.sent.Sub(c.lastUsedAt)
 	}
-	made.err = c.exchange(&made)
-	made.ended = time.Now()
-	c.usedUntil = made.ended
-	if made.err != nil {
-		c.drop()
+	result.err = c.exchange(&result)
+	result.ended = time.Now()
+	c.lastUsedAt = result.ended
+	if result.err != nil {
+		c.closeConnection()
 	}
-	return made
+	return result
 }
 
-func (c *caller) exchange(made *call) error {
+func (c *caller) exchange(result *call) error {
 	if c.conn == nil {
-		conn, err := net.DialTimeout("tcp", c.world.processes[c.gateway].address+":8221", time.Second)
+		conn, err := net.DialTimeout("tcp", c.testbed.processes[c.gateway].address+":8221", time.Second)
 		if err != nil {
-			made.unsent = true
+			result.notConnected = true
 			return err
 		}
 		c.conn, c.reader = conn, bufio.NewReader(conn)
 	}
-	if err := c.conn.SetDeadline(made.sent.Add(callerPatience)); err != nil {
+	if err := c.conn.SetDeadline(result.sent.Add(callerTimeout)); err != nil {
 		return err
 	}
-	if _, err := io.WriteString(c.conn, made.text()); err != nil {
+	if _, err := io.WriteString(c.conn, result.requestText()); err != nil {
 		return err
 	}
-	response, err := http.ReadResponse(c.reader, &http.Request{Method: made.kind.method})
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: result.kind.method})
 	if err != nil {
 		return err
 	}
-	made.status = response.StatusCode
+	result.status = response.StatusCode
 	body, err := io.ReadAll(response.Body)
-	made.body = string(body)
+	result.body = string(body)
 	if err != nil {
 		return err
 	}
 	if response.Close {
-		c.drop()
+		c.closeConnection()
 	}
 	return nil
 }
 
-func (c *call) text() string {
+func (c *call) requestText() string {
 	headers := []string{
 		c.kind.method + " " + c.path + " HTTP/1.1", "Host: h", attemptHeader + ": " + c.id, "Api-Key: key",
-		fmt.Sprintf("X-Persimmonridge-Deadline-Ms: %d", callerPatience.Milliseconds()),
+		fmt.Sprintf("X-Persimmonridge-Deadline-Ms: %d", callerTimeout.Milliseconds()),
 	}
 	if c.kind.stream {
 		headers = append(headers, "X-Persimmonridge-Token-Counts: 200,160", "X-Persimmonridge-Length-Hint: 100")
@@ -151,20 +151,21 @@
 	return strings.Join(headers, "\r\n") + "\r\n\r\n" + body
 }
 
-// whole tells whether the answer is the whole one of this request.
-func (c *call) whole() bool {
+// complete reports whether the body is the complete answer to this request.
+func (c *call) complete() bool {
 	if !c.kind.stream {
-		return c.body == wholeAnswer(c.id)
+		return c.body == expectedAnswer(c.id)
 	}
 	var want strings.Builder
 	for i := 1; i <= streamEvents; i++ {
-		want.WriteString(event(c.id, i))
+		want.WriteString(eventText(c.id, i))
 	}
 	return c.body == want.String()
 }
 
-// inPieces tells whether what came of a stream is its beginning, event by event.
-func (c *call) inPieces() bool {
+// isEventPrefix reports whether the body of a stream consists of its first events,
+// each of them complete.
+func (c *call) isEventPrefix() bool {
 	if !c.kind.stream || c.status != http.StatusOK {
 		return true
 	}
@@ -173,13 +174,13 @@
 		if c.body == want.String() {
 			return true
 		}
-		want.WriteString(event(c.id, i))
+		want.WriteString(eventText(c.id, i))
 	}
 	return c.body == want.String()
 }
 
-// left tells whether the caller gave up waiting.
-func (c *call) left() bool {
+// timedOut reports whether the caller's timeout expired.
+func (c *call) timedOut() bool {
 	var timeout net.Error
 	return errors.As(c.err, &timeout) && timeout.Timeout()
 }
--- a/internal/trial/soak/config_test.go
+++ b/internal/trial/soak/config_test.go
@@ -9,86 +9,89 @@
 )
 
 const (
-	// manyRoutes is how many routes a large configuration has more at most.
-	manyRoutes = 1400
-	// shortIdle and longIdle bound the idle limits of callers' connections. Most
-	// are below middleIdle, so that a run meets them often.
-	shortIdle  = 500 * time.Millisecond
-	middleIdle = 3 * time.Second
-	longIdle   = 20 * time.Second
+	// maxExtraRoutes is the maximum number of extra routes of a large
+	// configuration.
+	maxExtraRoutes = 1400
+	// minIdleLimit and maxIdleLimit bound the idle limits of callers' connections.
+	// Most are below commonIdleLimit, so that connections often reach them in a
+	// run.
+	minIdleLimit    = 500 * time.Millisecond
+	commonIdleLimit = 3 * time.Second
+	maxIdleLimit    = 20 * time.Second
 )
 
-// configure puts a version in force that adds a route and drops the last one,
-// often with another idle limit or many more routes, and notes it for the judge
-// when the store has it.
-func configure(w *world, r *rand.Rand) {
-	w.configuring.Lock()
-	defer w.configuring.Unlock()
-	next := versionAt{version: 1, idleLimit: drawIdleLimit(r)}
-	if n := len(w.versions); n > 0 {
-		next.version = w.versions[n-1].version + 1
+// changeConfig stores a configuration version that adds a route and drops the one
+// added last, often with a different idle limit or many extra routes, and records
+// when it was stored.
+func changeConfig(tb *testbed, r *rand.Rand) {
+	tb.configMu.Lock()
+	defer tb.configMu.Unlock()
+	next := configVersion{version: 1, idleLimit: randomIdleLimit(r)}
+	if n := len(tb.versions); n > 0 {
+		next.version = tb.versions[n-1].version + 1
 		if r.IntN(3) == 0 {
-			next.idleLimit = w.versions[n-1].idleLimit
+			next.idleLimit = tb.versions[n-1].idleLimit
 		}
 	}
-	more := 0
+	extraRoutes := 0
 	if r.IntN(3) == 0 {
-		more = 1 + r.IntN(manyRoutes)
+		extraRoutes = 1 + r.IntN(maxExtraRoutes)
 	}
-	next.from = time.Now()
-	w.store.Put("op/config", configuration(next, more))
-	next.at = time.Now()
-	w.mu.Lock()
-	w.versions = append(w.versions, next)
-	w.mu.Unlock()
+	next.submittedAt = time.Now()
+	tb.store.Put("op/config", configDocument(next, extraRoutes))
+	next.storedAt = time.Now()
+	tb.mu.Lock()
+	tb.versions = append(tb.versions, next)
+	tb.mu.Unlock()
 }
 
-func drawIdleLimit(r *rand.Rand) time.Duration {
+func randomIdleLimit(r *rand.Rand) time.Duration {
 	if r.IntN(5) == 0 {
-		return between(r, middleIdle, longIdle).Truncate(time.Millisecond)
+		return randomDuration(r, commonIdleLimit, maxIdleLimit).Truncate(time.Millisecond)
 	}
-	return between(r, shortIdle, middleIdle).Truncate(time.Millisecond)
+	return randomDuration(r, minIdleLimit, commonIdleLimit).Truncate(time.Millisecond)
 }
 
-// configureSeries puts versions in force one shortly after the other.
-func configureSeries(w *world, r *rand.Rand) {
-	gap := between(r, 20*time.Millisecond, 700*time.Millisecond)
+// changeConfigRepeatedly stores several versions in short succession.
+func changeConfigRepeatedly(tb *testbed, r *rand.Rand) {
+	gap := randomDuration(r, 20*time.Millisecond, 700*time.Millisecond)
 	for range 2 + r.IntN(6) {
-		configure(w, r)
+		changeConfig(tb, r)
 		<-time.After(gap)
 	}
 }
 
-// configureAmid lets a series meet stops, restarts and leaving upstreams.
-func configureAmid(w *world, r *rand.Rand) {
-	beside := []func(w *world, r *rand.Rand){stop, stopSeries, kill, settings, leave, leave}
+// changeConfigAmidFaults stores several versions while gateways stop and restart
+// and upstreams drain.
+func changeConfigAmidFaults(tb *testbed, r *rand.Rand) {
+	otherFaults := []func(tb *testbed, r *rand.Rand){stop, stopSeries, kill, changeSettings, drainUpstream, drainUpstream}
 	var running sync.WaitGroup
 	for range 1 + r.IntN(3) {
-		begin := beside[r.IntN(len(beside))]
-		after := between(r, 0, time.Second)
-		own := rand.New(rand.NewPCG(r.Uint64(), w.seed))
+		inject := otherFaults[r.IntN(len(otherFaults))]
+		delay := randomDuration(r, 0, time.Second)
+		faultRandom := rand.New(rand.NewPCG(r.Uint64(), tb.seed))
 		running.Go(func() {
-			<-time.After(after)
-			begin(w, own)
+			<-time.After(delay)
+			inject(tb, faultRandom)
 		})
 	}
-	configureSeries(w, r)
+	changeConfigRepeatedly(tb, r)
 	running.Wait()
 }
 
-// idleLimit returns the limit of the newest version, or of the one before, which
-// may still be in force.
-func (w *world) idleLimit(r *rand.Rand) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	at := len(w.versions) - 1
-	if at > 0 && r.IntN(4) == 0 {
-		at--
+// idleLimit returns the limit of the newest version, or sometimes of the previous
+// one, which may still be in effect.
+func (tb *testbed) idleLimit(r *rand.Rand) time.Duration {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	index := len(tb.versions) - 1
+	if index > 0 && r.IntN(4) == 0 {
+		index--
 	}
-	return w.versions[at].idleLimit
+	return tb.versions[index].idleLimit
 }
 
-func configuration(v versionAt, more int) string {
+func configDocument(v configVersion, extraRoutes int) string {
 	route := `{"name":%q,"hostname":"h","prefix":%q,"kind":%q,"timeoutMs":3000,"targetLatencyMs":500,"service":%q,"maxAttempts":2,"streamResume":%t,"gapAimMs":250}`
 	routes := []string{
 		fmt.Sprintf(route, "book", "/book/", "non_idempotent", "desk", false),
@@ -97,7 +100,7 @@
 		fmt.Sprintf(route, "once", "/once/", "streaming", "tutor", false),
 		fmt.Sprintf(route, "version", versionPath(v.version), "idempotent", "desk", false),
 	}
-	for i := range more {
+	for i := range extraRoutes {
 		routes = append(routes, fmt.Sprintf(route, fmt.Sprintf("more-%d", i), fmt.Sprintf("/more-%d/", i), "idempotent", "desk", false))
 	}
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[{"name":"tutor","engine":{"slots":%d,"stride":6}},{"name":"desk"}],
--- a/internal/trial/soak/disruption_test.go
+++ b/internal/trial/soak/disruption_test.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// harms are the times in which the soak itself harmed a gateway or an upstream.
-type harms struct {
-	mu    sync.Mutex
-	spans []*span
+// disruptions records the times in which the test itself disrupted a gateway or an
+// upstream.
+type disruptions struct {
+	mu        sync.Mutex
+	intervals []*interval
 }
 
-// span is from the beginning of a harm to its end, which is zero while it lasts.
-type span struct{ from, until time.Time }
+// interval is the time of one disruption. until is zero while it lasts.
+type interval struct{ from, until time.Time }
 
-// begin notes the beginning of a harm and returns what notes its end.
-func (h *harms) begin() func() {
-	s := &span{from: time.Now()}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.spans = append(h.spans, s)
+// begin records the start of a disruption and returns a function that records its
+// end.
+func (d *disruptions) begin() func() {
+	current := &interval{from: time.Now()}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.intervals = append(d.intervals, current)
 	return sync.OnceFunc(func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		s.until = time.Now()
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		current.until = time.Now()
 	})
 }
 
-// meet tells whether a harm meets the time.
-func (h *harms) meet(from, until time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, s := range h.spans {
+// overlaps reports whether any disruption overlaps the time span.
+func (d *disruptions) overlaps(from, until time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, s := range d.intervals {
 		if s.from.Before(until) && (s.until.IsZero() || s.until.After(from)) {
 			return true
 		}
--- a/internal/trial/soak/doc.go
+++ b/internal/trial/soak/doc.go
@@ -1,6 +1,7 @@
-// Package soak runs the real gateways as separate processes on loopback
-// addresses, in front of stand-ins of the store and of upstreams, and injects
-// faults from outside: signals to the processes, harmed connections by relays,
-// a store and upstreams that misbehave. While it runs, and at its end, it checks
-// what the pages promise by what callers and upstreams see. All of it is tests.
+// Package soak contains the soak test. It runs real gateways as separate processes
+// on loopback addresses, in front of stand-ins for the store and the upstreams,
+// and injects faults from outside: signals to the processes, connections that
+// relays disturb, and a store and upstreams that misbehave. During the run and at
+// its end it checks the documented guarantees by what callers and upstreams
+// observe.
 package soak
--- a/internal/trial/soak/fault_test.go
+++ b/internal/trial/soak/fault_test.go
@@ -8,186 +8,192 @@
 	"github.com/persimmonridge/persimmonridge/platform/standin"
 )
 
-// contact is how long after the end of a fault a gateway is not judged by what
-// must be so within a time.
-const contact = 4 * time.Second
+// reconnectTime is how long after the end of a fault time limits are not checked
+// at an affected gateway.
+const reconnectTime = 4 * time.Second
 
-// fault is one trouble and whom it befalls. Faults overlap and come in series.
+// fault is an injected fault and what it affects. Faults may overlap and come in
+// series.
 type fault struct {
 	name string
-	// gateway is whom it befalls, or all of them.
+	// gateway is the index of the affected gateway, or allGateways.
 	gateway int
-	// store and upstream faults befall all that use them.
+	// store and upstream are true for faults of the store and of upstreams, which
+	// affect all gateways.
 	store, upstream bool
 	from, until     time.Time
 }
 
-const all = -1
+// allGateways is the gateway index of faults that affect all gateways.
+const allGateways = -1
 
-// befalls tells whether a fault touched what the gateway needs in the span.
-func (f fault) befalls(gateway int, from, until time.Time) bool {
-	if !f.store && f.gateway != all && f.gateway != gateway {
+// affects reports whether the fault, or the reconnectTime after it, overlaps the
+// time span at the gateway.
+func (f fault) affects(gateway int, from, until time.Time) bool {
+	if !f.store && f.gateway != allGateways && f.gateway != gateway {
 		return false
 	}
-	return f.from.Before(until) && (f.until.IsZero() || f.until.Add(contact).After(from))
+	return f.from.Before(until) && (f.until.IsZero() || f.until.Add(reconnectTime).After(from))
 }
 
-// maker makes one fault of a theme and returns after its end.
-type maker struct {
-	name string
-	make func(w *world, r *rand.Rand)
+// faultKind is a kind of fault. inject injects one and returns after its end.
+type faultKind struct {
+	name   string
+	inject func(tb *testbed, r *rand.Rand)
 }
 
-// themes are groups of makers; a seed draws some of them, and always those of
-// configurations, which change all day.
-var themes = [][]maker{
-	{{"kill", kill}, {"stop", stop}, {"stop-series", stopSeries}, {"freeze", freeze}, {"settings", settings}, {"herd", herd}},
-	{{"store", storeFault}, {"store-link", storeLink}},
-	{{"crash", crash}, {"leave", leave}, {"sick", sick}, {"upstream-link", upstreamLink}},
+// faultGroups are the groups of fault kinds that a seed selects from. The
+// configChanges are always included, because configurations change all the time.
+var faultGroups = [][]faultKind{
+	{{"kill", kill}, {"stop", stop}, {"stop-series", stopSeries}, {"freeze", freeze}, {"settings", changeSettings}, {"herd", killMost}},
+	{{"store", failStore}, {"store-link", disruptStoreLink}},
+	{{"crash", crashUpstream}, {"leave", drainUpstream}, {"sick", misbehave}, {"upstream-link", disruptUpstreamLink}},
 }
 
-var configurations = []maker{{"config", configure}, {"config-series", configureSeries}, {"config-amid", configureAmid}}
+var configChanges = []faultKind{{"config", changeConfig}, {"config-series", changeConfigRepeatedly}, {"config-amid", changeConfigAmidFaults}}
 
-func between(r *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(r.Int64N(int64(most-least)))
+func randomDuration(r *rand.Rand, shortest, longest time.Duration) time.Duration {
+	return shortest + time.Duration(r.Int64N(int64(longest-shortest)))
 }
 
-func kill(w *world, r *rand.Rand) {
+func kill(tb *testbed, r *rand.Rand) {
 	i := r.IntN(gateways)
-	defer w.fault("kill", i, false, false)()
-	w.processes[i].signal(syscall.SIGKILL)
-	<-time.After(restartAfter)
+	defer tb.beginFault("kill", i, false, false)()
+	tb.processes[i].signal(syscall.SIGKILL)
+	<-time.After(restartDelay)
 }
 
-// stop is planned: the gateway is told, and its callers go on.
-func stop(w *world, r *rand.Rand) {
+// stop stops a gateway gracefully, which must not affect its callers.
+func stop(tb *testbed, r *rand.Rand) {
 	i := r.IntN(gateways)
-	defer w.fault("stop", i, false, false)()
-	w.processes[i].signal(syscall.SIGTERM)
-	<-time.After(between(r, 100*time.Millisecond, grace))
+	defer tb.beginFault("stop", i, false, false)()
+	tb.processes[i].signal(syscall.SIGTERM)
+	<-time.After(randomDuration(r, 100*time.Millisecond, stopGrace))
 }
 
-// stopSeries tells all gateways to stop, one shortly after the other, so that for
-// some seconds none is ready.
-func stopSeries(w *world, r *rand.Rand) {
-	defer w.fault("stop", all, false, false)()
-	gap := between(r, 10*time.Millisecond, 1500*time.Millisecond)
+// stopSeries stops all gateways in short succession, so that for some seconds none
+// of them is ready.
+func stopSeries(tb *testbed, r *rand.Rand) {
+	defer tb.beginFault("stop", allGateways, false, false)()
+	gap := randomDuration(r, 10*time.Millisecond, 1500*time.Millisecond)
 	for _, i := range r.Perm(gateways) {
-		w.processes[i].signal(syscall.SIGTERM)
+		tb.processes[i].signal(syscall.SIGTERM)
 		<-time.After(gap)
 	}
-	<-time.After(grace)
+	<-time.After(stopGrace)
 }
 
-func freeze(w *world, r *rand.Rand) {
+func freeze(tb *testbed, r *rand.Rand) {
 	i := r.IntN(gateways)
-	defer w.fault("freeze", i, false, false)()
-	w.processes[i].signal(syscall.SIGSTOP)
-	<-time.After(between(r, 100*time.Millisecond, 3*time.Second))
-	w.processes[i].signal(syscall.SIGCONT)
+	defer tb.beginFault("freeze", i, false, false)()
+	tb.processes[i].signal(syscall.SIGSTOP)
+	<-time.After(randomDuration(r, 100*time.Millisecond, 3*time.Second))
+	tb.processes[i].signal(syscall.SIGCONT)
 }
 
-func settings(w *world, r *rand.Rand) {
-	w.processes[r.IntN(gateways)].resettle(40+r.IntN(20), r.IntN(2) == 0)
+func changeSettings(tb *testbed, r *rand.Rand) {
+	tb.processes[r.IntN(gateways)].updateSettings(40+r.IntN(20), r.IntN(2) == 0)
 }
 
-func herd(w *world, r *rand.Rand) {
-	defer w.fault("herd", all, false, false)()
-	for _, g := range w.processes {
+func killMost(tb *testbed, r *rand.Rand) {
+	defer tb.beginFault("herd", allGateways, false, false)()
+	for _, g := range tb.processes {
 		if r.IntN(4) > 0 {
 			g.signal(syscall.SIGKILL)
 		}
 	}
-	<-time.After(restartAfter)
+	<-time.After(restartDelay)
 }
 
-func storeFault(w *world, r *rand.Rand) {
-	defer w.fault("store", all, true, false)()
+func failStore(tb *testbed, r *rand.Rand) {
+	defer tb.beginFault("store", allGateways, true, false)()
 	if r.IntN(5) == 0 {
-		w.store.Compact()
+		tb.store.Compact()
 		return
 	}
 	faults := []standin.Fault{standin.Busy, standin.Throttled, standin.Silent, standin.Reset, standin.Lost}
-	w.store.SetFault(faults[r.IntN(len(faults))])
-	<-time.After(between(r, 200*time.Millisecond, 4*time.Second))
-	w.store.SetFault(standin.None)
+	tb.store.SetFault(faults[r.IntN(len(faults))])
+	<-time.After(randomDuration(r, 200*time.Millisecond, 4*time.Second))
+	tb.store.SetFault(standin.None)
 }
 
-func storeLink(w *world, r *rand.Rand) {
+func disruptStoreLink(tb *testbed, r *rand.Rand) {
 	i := r.IntN(gateways)
-	defer w.fault("store-link", i, false, false)()
-	harm(r, w.storeLinks[i], new(harms))
+	defer tb.beginFault("store-link", i, false, false)()
+	disruptLink(r, tb.storeLinks[i], new(disruptions))
 }
 
-func upstreamLink(w *world, r *rand.Rand) {
-	defer w.fault("upstream-link", all, false, true)()
-	u := w.upstreams[r.IntN(len(w.upstreams))]
-	harm(r, u.relay, &u.harms)
+func disruptUpstreamLink(tb *testbed, r *rand.Rand) {
+	defer tb.beginFault("upstream-link", allGateways, false, true)()
+	u := tb.upstreams[r.IntN(len(tb.upstreams))]
+	disruptLink(r, u.relay, &u.disruptions)
 }
 
-// harmed is a link that can be harmed.
-type harmed interface {
+// disruptable is a link that can be disturbed.
+type disruptable interface {
 	Silence() int
 	Reset()
 	SetDelay(d time.Duration)
 	SetMute(mute bool)
 }
 
-// harm harms the link and notes it if answers are lost by it.
-func harm(r *rand.Rand, link harmed, h *harms) {
-	span := between(r, 200*time.Millisecond, 2*time.Second)
+// disruptLink disturbs the link and records a disruption if answers can be lost by
+// it.
+func disruptLink(r *rand.Rand, link disruptable, log *disruptions) {
+	duration := randomDuration(r, 200*time.Millisecond, 2*time.Second)
 	switch r.IntN(4) {
 	case 0:
-		defer h.begin()()
+		defer log.begin()()
 		link.Silence()
 	case 1:
-		defer h.begin()()
+		defer log.begin()()
 		link.Reset()
 	case 2:
-		link.SetDelay(between(r, time.Millisecond, 80*time.Millisecond))
-		<-time.After(span)
+		link.SetDelay(randomDuration(r, time.Millisecond, 80*time.Millisecond))
+		<-time.After(duration)
 		link.SetDelay(0)
 	case 3:
-		defer h.begin()()
+		defer log.begin()()
 		link.SetMute(true)
-		<-time.After(span)
+		<-time.After(duration)
 		link.SetMute(false)
 	}
 }
 
-func crash(w *world, r *rand.Rand) {
-	defer w.fault("crash", all, false, true)()
-	u := w.upstreams[r.IntN(len(w.upstreams))]
+func crashUpstream(tb *testbed, r *rand.Rand) {
+	defer tb.beginFault("crash", allGateways, false, true)()
+	u := tb.upstreams[r.IntN(len(tb.upstreams))]
 	if _, up := u.identity(); !up {
 		return
 	}
-	defer u.harms.begin()()
+	defer u.disruptions.begin()()
 	u.crash()
-	<-time.After(between(r, 100*time.Millisecond, 2*time.Second))
-	u.restart(w.nextUpstream(u.service))
+	<-time.After(randomDuration(r, 100*time.Millisecond, 2*time.Second))
+	u.restart(tb.nextUpstream(u.service))
 }
 
-// leave is planned: the upstream says so, serves on, and is replaced.
-func leave(w *world, r *rand.Rand) {
-	u := w.upstreams[r.IntN(len(w.upstreams))]
-	if !w.mayLeave(u) {
+// drainUpstream announces the drain of an upstream, which keeps serving for
+// drainTime and is then replaced.
+func drainUpstream(tb *testbed, r *rand.Rand) {
+	u := tb.upstreams[r.IntN(len(tb.upstreams))]
+	if !tb.reserveDrain(u) {
 		return
 	}
-	u.leave()
-	<-time.After(leaveAfter)
-	defer u.harms.begin()()
+	u.drain()
+	<-time.After(drainTime)
+	defer u.disruptions.begin()()
 	u.crash()
-	u.restart(w.nextUpstream(u.service))
+	u.restart(tb.nextUpstream(u.service))
 }
 
-func sick(w *world, r *rand.Rand) {
-	defer w.fault("sick", all, false, true)()
-	u := w.upstreams[r.IntN(len(w.upstreams))]
-	s := 1 + r.Int32N(int32(dark))
-	if sickness(s) != failing {
-		defer u.harms.begin()()
+func misbehave(tb *testbed, r *rand.Rand) {
+	defer tb.beginFault("sick", allGateways, false, true)()
+	u := tb.upstreams[r.IntN(len(tb.upstreams))]
+	mode := 1 + r.Int32N(int32(unresponsive))
+	if failureMode(mode) != failing {
+		defer u.disruptions.begin()()
 	}
-	u.sick.Store(s)
-	<-time.After(between(r, 200*time.Millisecond, 3*time.Second))
-	u.sick.Store(int32(well))
+	u.failureMode.Store(mode)
+	<-time.After(randomDuration(r, 200*time.Millisecond, 3*time.Second))
+	u.failureMode.Store(int32(healthy))
 }
--- a/internal/trial/soak/idle_test.go
+++ b/internal/trial/soak/idle_test.go
@@ -7,73 +7,78 @@
 )
 
 const (
-	// restingGroups of restingCallers each rest on their connections.
-	restingGroups  = 4 * gateways
-	restingCallers = 4
-	// longestRest bounds a rest where the idle limit is longer.
-	longestRest = 4 * time.Second
-	// restSpread is how far most rests are from the idle limit at most.
-	restSpread = 3 * time.Millisecond
+	// idleGroups is the number of groups with callersPerIdleGroup callers each.
+	idleGroups          = 4 * gateways
+	callersPerIdleGroup = 4
+	// maxIdleTime bounds the idle time where the idle limit is longer.
+	maxIdleTime = 4 * time.Second
+	// idleSpread is the maximum difference between most idle times and the idle
+	// limit.
+	idleSpread = 3 * time.Millisecond
 )
 
-// restingGroup is callers of one gateway that call at the same time and then rest
-// on their open connections for about the idle limit, each from its own answer.
-// Timers and requests that are due together meet a busy gateway.
-type restingGroup struct {
-	world   *world
+// idleGroup is a group of callers of one gateway that send requests at the same
+// time and then leave their connections idle for about the idle limit, each from
+// the end of its own call. The gateway is then busy with timers and requests that
+// are due at the same time.
+type idleGroup struct {
+	testbed *testbed
 	callers []*caller
 	random  *rand.Rand
 }
 
-func newRestingGroup(w *world, number int) *restingGroup {
-	g := &restingGroup{world: w, random: rand.New(rand.NewPCG(w.seed, uint64(number)+2000))}
-	for i := range restingCallers {
-		c := newCaller(w, 1000+number*restingCallers+i)
+func newIdleGroup(tb *testbed, number int) *idleGroup {
+	g := &idleGroup{testbed: tb, random: rand.New(rand.NewPCG(tb.seed, uint64(number)+2000))}
+	for i := range callersPerIdleGroup {
+		c := newCaller(tb, 1000+number*callersPerIdleGroup+i)
 		c.gateway = number % gateways
 		g.callers = append(g.callers, c)
 	}
 	return g
 }
 
-// run calls and rests until the world's callers are to end.
-func (g *restingGroup) run() {
+// run sends requests with idle times between them until the testbed stops its
+// callers.
+func (g *idleGroup) run() {
 	for _, c := range g.callers {
-		defer c.drop()
+		defer c.closeConnection()
 	}
-	for !g.world.over() {
+	for !g.testbed.stopping() {
 		k := kinds[g.random.IntN(len(kinds))]
-		rest := g.drawRest()
+		idleTime := g.randomIdleTime()
 		var calling sync.WaitGroup
 		for _, c := range g.callers {
-			calling.Go(func() { c.restAndCall(k, rest) })
+			calling.Go(func() { c.idleAndCall(k, idleTime) })
 		}
 		calling.Wait()
 	}
 }
 
-// drawRest returns a time that is a little shorter or longer than the idle limit.
-func (g *restingGroup) drawRest() time.Duration {
-	limit := g.world.idleLimit(g.random)
-	spread := restSpread
+// randomIdleTime returns a time that is a little shorter or longer than the idle
+// limit.
+func (g *idleGroup) randomIdleTime() time.Duration {
+	limit := g.testbed.idleLimit(g.random)
+	spread := idleSpread
 	if g.random.IntN(4) == 0 {
 		spread = limit / 8
 	}
-	return min(limit+between(g.random, -spread, spread), longestRest)
+	return min(limit+randomDuration(g.random, -spread, spread), maxIdleTime)
 }
 
-// restAndCall rests on the open connection, if there is one, and calls. If the
-// connection ended meanwhile, it calls again on another one.
-func (c *caller) restAndCall(k kind, rest time.Duration) {
+// idleAndCall leaves the open connection, if there is one, idle and then sends a
+// request. If the connection was closed meanwhile, it sends another request on a
+// new one.
+func (c *caller) idleAndCall(k kind, idleTime time.Duration) {
 	if c.conn != nil {
 		select {
-		case <-c.world.closing:
+		case <-c.testbed.stopCallers:
 			return
-		case <-time.After(time.Until(c.usedUntil.Add(rest))):
+		case <-time.After(time.Until(c.lastUsedAt.Add(idleTime))):
 		}
 	}
-	c.world.note(c.call(k, k.path))
-	if c.conn == nil && !c.world.over() {
+	c.testbed.recordCall(c.call(k, k.path))
+	if c.conn == nil && !c.testbed.stopping() {
 		<-time.After(time.Duration(5+c.random.IntN(60)) * time.Millisecond)
-		c.world.note(c.call(k, k.path))
+		c.testbed.recordCall(c.call(k, k.path))
 	}
 }
--- a/internal/trial/soak/process_test.go
+++ b/internal/trial/soak/process_test.go
@@ -12,71 +12,72 @@
 )
 
 const (
-	// grace is the time to stop that the settings name; graceSlack is what
-	// a busy machine may add until the exit is seen.
-	grace      = 4 * time.Second
-	graceSlack = 2 * time.Second
-	// restartAfter is when the platform starts an ended process again.
-	restartAfter = 300 * time.Millisecond
+	// stopGrace is the graceful stop time in the settings; stopGraceSlack is the
+	// delay that a busy machine may add until the exit is observed.
+	stopGrace      = 4 * time.Second
+	stopGraceSlack = 2 * time.Second
+	// restartDelay is the time after which the platform restarts a process.
+	restartDelay = 300 * time.Millisecond
 )
 
-// gatewayProcess keeps one gateway running, as the platform does.
+// gatewayProcess runs one gateway and restarts it when it exits, as the platform
+// does.
 type gatewayProcess struct {
 	name, address string
 	binary        string
 	settingsPath  string
-	storeAt       string
+	storeAddress  string
 	seeds         []string
 	log           *os.File
 	report        func(finding string)
 
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	expected bool
-	stopped  bool
-	// frozen tells that the process was paused since its start, so that its
-	// stop may take longer than its grace.
-	frozen bool
-	paused bool
-	slack  int
-	// logAt is where the log of this process begins.
-	logAt  int64
-	termAt time.Time
-	ended  bool
-	done   chan struct{}
-
-	// harms are from when it was killed, or paused in its stop so that its grace
-	// ran out, until it had ended.
-	harms  harms
-	mended func()
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exitExpected  bool
+	stopRequested bool
+	// wasPaused is true if the process was paused since its start, so that its stop
+	// may take longer than stopGrace.
+	wasPaused        bool
+	paused           bool
+	retryBudgetSlack int
+	// logOffset is the size of the log file when the process was started.
+	logOffset       int64
+	stopRequestedAt time.Time
+	closed          bool
+	done            chan struct{}
+
+	// disruptions last from when the process was killed, or was paused while
+	// stopping so that its grace expired, until it has exited.
+	disruptions   disruptions
+	endDisruption func()
 }
 
-func newGatewayProcess(w *world, i int, storeAt string) (*gatewayProcess, error) {
+func newGatewayProcess(tb *testbed, i int, storeAddress string) (*gatewayProcess, error) {
 	name := fmt.Sprintf("gateway-%d", i)
-	log, err := os.Create(filepath.Join(w.folder, name+".log"))
+	log, err := os.Create(filepath.Join(tb.folder, name+".log"))
 	if err != nil {
 		return nil, err
 	}
 	g := &gatewayProcess{
-		name: name, address: w.address(1 + i), binary: w.binary, storeAt: storeAt, log: log, report: w.report,
-		settingsPath: filepath.Join(w.folder, name+".json"), done: make(chan struct{}), slack: 50,
-		mended: func() {},
+		name: name, address: tb.address(1 + i), binary: tb.binary, storeAddress: storeAddress, log: log, report: tb.report,
+		settingsPath: filepath.Join(tb.folder, name+".json"), done: make(chan struct{}), retryBudgetSlack: 50,
+		endDisruption: func() {},
 	}
 	for j := range gateways {
-		g.seeds = append(g.seeds, w.address(1+j)+":8229")
+		g.seeds = append(g.seeds, tb.address(1+j)+":8229")
 	}
 	return g, g.writeSettings()
 }
 
-// writeSettings writes the settings file as a whole: a process that reads it
-// meanwhile gets the old one or the new one.
+// writeSettings replaces the settings file atomically: a process that reads it
+// concurrently gets either the old or the new one.
 func (g *gatewayProcess) writeSettings() error {
 	text := fmt.Sprintf(`{"nodeName":%q,"zone":"a","ip":%q,"bootstrap":true,
 		"listen":{"frontend":"%[2]s:8221","readiness":"%[2]s:8224","control":"%[2]s:8229"},
 		"internalPortRange":[7600,7615],"seeds":[%q,%q,%q],"limits":{"memoryMb":200},
 		"bounds":{"graceS":%g,"configApplyMs":2000,"retryBudgetRatio":0.2,"retryBudgetSlack":%d,"budgetWindowS":10,"quotaSlack":140000},
 		"platform":{"address":%q}}`,
-		g.name, g.address, g.seeds[0], g.seeds[1], g.seeds[2], grace.Seconds(), g.slack, g.storeAt)
+		g.name, g.address, g.seeds[0], g.seeds[1], g.seeds[2], stopGrace.Seconds(), g.retryBudgetSlack, g.storeAddress)
 	next := g.settingsPath + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
 		return err
@@ -84,17 +85,17 @@
 	return os.Rename(next, g.settingsPath)
 }
 
-// run starts the process, and again whenever it ends, until close.
+// run starts the process and restarts it whenever it exits, until close.
 func (g *gatewayProcess) run() {
 	defer close(g.done)
 	for {
 		if !g.start() {
 			return
 		}
-		if g.exited(g.wait()) {
+		if g.handleExit(g.wait()) {
 			return
 		}
-		<-time.After(restartAfter)
+		<-time.After(restartDelay)
 	}
 }
 
@@ -108,58 +109,59 @@
 func (g *gatewayProcess) start() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ended {
+	if g.closed {
 		return false
 	}
 	g.cmd = exec.Command(g.binary, "gateway") //nolint:gosec // The binary was built by the test itself.
 	g.cmd.Env = append(os.Environ(), "PERSIMMONRIDGE_NODE_FILE="+g.settingsPath)
 	g.cmd.Stdout, g.cmd.Stderr = g.log, g.log
-	g.expected, g.stopped, g.frozen, g.paused = false, false, false, false
-	g.logAt = g.logEnd()
+	g.exitExpected, g.stopRequested, g.wasPaused, g.paused = false, false, false, false
+	g.logOffset = g.logSize()
 	if err := g.cmd.Start(); err != nil {
-		g.report(fmt.Sprintf("%s cannot be started: %v", g.name, err))
+		g.report(fmt.Sprintf("%s failed to start: %v", g.name, err))
 		return false
 	}
 	return true
 }
 
-// exited judges an exit. It tells whether the soak is over.
-func (g *gatewayProcess) exited(err error) bool {
+// handleExit checks an exit and reports whether the process must not be restarted.
+func (g *gatewayProcess) handleExit(err error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
 		g.report(fmt.Sprintf("%s: %v", g.name, err))
 	}
-	if g.endedBeforeMain(exit) {
+	if g.exitedBeforeMain(exit) {
 		exit, err = nil, nil
-		g.expected = true
+		g.exitExpected = true
 	}
-	late := g.stopped && time.Since(g.termAt) > grace+graceSlack
+	late := g.stopRequested && time.Since(g.stopRequestedAt) > stopGrace+stopGraceSlack
 	switch {
-	case !g.expected:
-		g.report(fmt.Sprintf("%s ended by itself: %v", g.name, err))
-	case late && !g.frozen:
-		g.report(fmt.Sprintf("%s took %s to stop", g.name, time.Since(g.termAt)))
-	case g.stopped && !late && err != nil:
-		g.report(fmt.Sprintf("%s was told to stop and ended with %v", g.name, err))
+	case !g.exitExpected:
+		g.report(fmt.Sprintf("%s exited unexpectedly: %v", g.name, err))
+	case late && !g.wasPaused:
+		g.report(fmt.Sprintf("%s took %s to stop", g.name, time.Since(g.stopRequestedAt)))
+	case g.stopRequested && !late && err != nil:
+		g.report(fmt.Sprintf("%s exited with an error after a stop request: %v", g.name, err))
 	}
 	g.cmd = nil
-	g.mended()
-	return g.ended
+	g.endDisruption()
+	return g.closed
 }
 
-// endedBeforeMain tells whether a signal ended a process that had not come to ask
-// for signals: no program can before its runtime begins, and it took no request.
-func (g *gatewayProcess) endedBeforeMain(exit *exec.ExitError) bool {
-	if exit == nil || g.logEnd() != g.logAt {
+// exitedBeforeMain reports whether a signal ended a process that had not yet
+// registered its signal handlers. No program can do so before its runtime has
+// started, and such a process has accepted no request.
+func (g *gatewayProcess) exitedBeforeMain(exit *exec.ExitError) bool {
+	if exit == nil || g.logSize() != g.logOffset {
 		return false
 	}
 	status, ok := exit.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && (status.Signal() == syscall.SIGTERM || status.Signal() == syscall.SIGHUP)
 }
 
-func (g *gatewayProcess) logEnd() int64 {
+func (g *gatewayProcess) logSize() int64 {
 	info, err := g.log.Stat()
 	if err != nil {
 		g.report(fmt.Sprintf("%s: log: %v", g.name, err))
@@ -168,37 +170,37 @@
 	return info.Size()
 }
 
-// signal sends a signal to the process, if it runs. One that was told to end is
-// not told again, but may be paused and go on.
+// signal sends a signal to the process if it is running. A process that is already
+// stopping is not killed or stopped again, but may be paused and continued.
 func (g *gatewayProcess) signal(s syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ends := s == syscall.SIGKILL || s == syscall.SIGTERM
-	if g.cmd == nil || (ends && g.expected) {
+	if g.cmd == nil || (ends && g.exitExpected) {
 		return
 	}
 	switch s {
 	case syscall.SIGKILL:
-		g.expected = true
-		g.harm()
+		g.exitExpected = true
+		g.beginDisruption()
 	case syscall.SIGTERM:
-		g.expected, g.stopped, g.termAt = true, true, time.Now()
+		g.exitExpected, g.stopRequested, g.stopRequestedAt = true, true, time.Now()
 		g.killAfterGrace(g.cmd)
 	case syscall.SIGSTOP:
-		g.frozen, g.paused = true, true
+		g.wasPaused, g.paused = true, true
 	case syscall.SIGCONT:
 		g.paused = false
 	}
-	if g.stopped && g.paused {
-		g.harm()
+	if g.stopRequested && g.paused {
+		g.beginDisruption()
 	}
 	g.send(s)
 }
 
-// harm notes that a harm begins which lasts until the process has ended.
-func (g *gatewayProcess) harm() {
-	g.mended()
-	g.mended = g.harms.begin()
+// beginDisruption records a disruption that lasts until the process has exited.
+func (g *gatewayProcess) beginDisruption() {
+	g.endDisruption()
+	g.endDisruption = g.disruptions.begin()
 }
 
 func (g *gatewayProcess) send(s syscall.Signal) {
@@ -207,36 +209,36 @@
 	}
 }
 
-// killAfterGrace ends a process that does not stop in time, as the platform does.
+// killAfterGrace kills a process that does not stop in time, as the platform does.
 func (g *gatewayProcess) killAfterGrace(cmd *exec.Cmd) {
-	time.AfterFunc(grace+graceSlack, func() {
+	time.AfterFunc(stopGrace+stopGraceSlack, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if g.cmd == cmd {
-			g.harm()
+			g.beginDisruption()
 			g.send(syscall.SIGKILL)
 		}
 	})
 }
 
-// resettle changes the settings, with or without a signal.
-func (g *gatewayProcess) resettle(slack int, tell bool) {
+// updateSettings changes the settings file and optionally sends SIGHUP.
+func (g *gatewayProcess) updateSettings(retryBudgetSlack int, sendHangup bool) {
 	g.mu.Lock()
-	g.slack = slack
+	g.retryBudgetSlack = retryBudgetSlack
 	err := g.writeSettings()
 	g.mu.Unlock()
 	if err != nil {
 		g.report(fmt.Sprintf("%s: settings: %v", g.name, err))
 	}
-	if tell {
+	if sendHangup {
 		g.signal(syscall.SIGHUP)
 	}
 }
 
-// close ends the process in order and waits.
+// close stops the process gracefully and waits until it has exited.
 func (g *gatewayProcess) close() error {
 	g.mu.Lock()
-	g.ended = true
+	g.closed = true
 	g.mu.Unlock()
 	g.signal(syscall.SIGCONT)
 	g.signal(syscall.SIGTERM)
--- a/internal/trial/soak/soak_test.go
+++ b/internal/trial/soak/soak_test.go
@@ -15,32 +15,33 @@
 )
 
 var (
-	soakSeeds  = flag.Int("soak-seeds", 1, "number of seeds that are run besides those of testdata/seeds.txt")
-	soakFirst  = flag.Uint64("soak-first-seed", 1, "the first of them")
-	soakLength = flag.Duration("soak-length", 6*time.Second, "time in which faults are injected")
+	seedCount     = flag.Int("soak-seeds", 1, "number of seeds to run in addition to those of testdata/seeds.txt")
+	firstSeed     = flag.Uint64("soak-first-seed", 1, "first additional seed")
+	faultDuration = flag.Duration("soak-length", 6*time.Second, "duration of the fault injection")
 )
 
-// TestSoak runs seeds side by side, as many as -parallel allows. Seeds that ever
-// failed stay in testdata/seeds.txt and are run each time, with their causes.
+// TestSoak runs seeds in parallel, as many as -parallel allows. Seeds that failed
+// once are listed in testdata/seeds.txt with their causes and run each time.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "persimmonridge")
 	build := exec.Command("go", "build", "-o", binary, "../../../cmd/persimmonridge")
 	output, err := build.CombinedOutput()
 	require.NoError(t, err, "%s", output)
-	seeds := failedBefore(t)
-	for i := range *soakSeeds {
-		seeds = append(seeds, *soakFirst+uint64(i))
+	seeds := regressionSeeds(t)
+	for i := range *seedCount {
+		seeds = append(seeds, *firstSeed+uint64(i))
 	}
 	for _, seed := range seeds {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
 			t.Parallel()
-			soak(t, seed, binary)
+			runSeed(t, seed, binary)
 		})
 	}
 }
 
-// failedBefore reads the seeds that failed once: a number, and the cause.
-func failedBefore(t *testing.T) []uint64 {
+// regressionSeeds reads the seeds that failed once. Each line holds a seed and the
+// cause of its failure.
+func regressionSeeds(t *testing.T) []uint64 {
 	raw, err := os.ReadFile("testdata/seeds.txt")
 	require.NoError(t, err)
 	var seeds []uint64
@@ -56,29 +57,29 @@
 	return seeds
 }
 
-func soak(t *testing.T, seed uint64, binary string) {
+func runSeed(t *testing.T, seed uint64, binary string) {
 	folder, err := os.MkdirTemp("", fmt.Sprintf("soak-%d-", seed))
 	require.NoError(t, err)
-	w, err := newWorld(seed, binary, folder, *soakLength)
+	tb, err := newTestbed(seed, binary, folder, *faultDuration)
 	require.NoError(t, err)
-	w.play()
-	require.NoError(t, w.close())
-	w.judge()
-	served, crossed := 0, 0
-	for _, c := range w.calls {
+	tb.run()
+	require.NoError(t, tb.close())
+	tb.check()
+	served, metClosed := 0, 0
+	for _, c := range tb.calls {
 		if c.err == nil && c.status == 200 {
 			served++
 		}
-		if w.crossed(c) {
-			crossed++
+		if tb.metClosedConnection(c) {
+			metClosed++
 		}
 	}
-	names := make([]string, 0, len(w.faults))
-	for _, f := range w.faults {
-		names = append(names, fmt.Sprintf("%s@%.1f", f.name, f.from.Sub(w.begun).Seconds()))
+	names := make([]string, 0, len(tb.faults))
+	for _, f := range tb.faults {
+		names = append(names, fmt.Sprintf("%s@%.1f", f.name, f.from.Sub(tb.startedAt).Seconds()))
 	}
-	t.Logf("%d calls, %d served, %d crossed the end of their connection; %d versions; %s; logs %s",
-		len(w.calls), served, crossed, len(w.versions), strings.Join(names, " "), folder)
-	w.keepOrRemove()
-	require.Empty(t, w.findings, "logs are in %s", folder)
+	t.Logf("%d calls, %d served, %d met a closed connection; %d versions; %s; logs in %s",
+		len(tb.calls), served, metClosed, len(tb.versions), strings.Join(names, " "), folder)
+	tb.removeLogsIfPassed()
+	require.Empty(t, tb.findings, "logs are in %s", folder)
 }
--- a/internal/trial/soak/testbed_test.go
+++ b/internal/trial/soak/testbed_test.go
@@ -20,99 +20,103 @@
 )
 
 const (
-	gateways  = 3
-	tutors    = 3
-	desks     = 2
-	callers   = 9
-	heartbeat = 1200 * time.Millisecond
-	// leaveAfter is how long a leaving upstream serves on, well beyond the time
-	// in which gateways must have noticed.
-	leaveAfter = 5 * time.Second
-	// probeEvery is how often each gateway is asked by which version it goes.
-	probeEvery = 200 * time.Millisecond
-	// faultPause is the mean time between two faults.
-	faultPause = 900 * time.Millisecond
-	// settle is the time after the last fault in which all must serve again.
-	settle = 6 * time.Second
+	gateways          = 3
+	tutorUpstreams    = 3
+	deskUpstreams     = 2
+	callers           = 9
+	heartbeatInterval = 1200 * time.Millisecond
+	// drainTime is how long a draining upstream keeps serving. It is well above
+	// applyTimeout, within which gateways must have noticed.
+	drainTime = 5 * time.Second
+	// probeInterval is the pause between probes of the configuration version that a
+	// gateway applies.
+	probeInterval = 200 * time.Millisecond
+	// meanFaultInterval is the mean time between the starts of two faults.
+	meanFaultInterval = 900 * time.Millisecond
+	// recoveryTime is the time after the last fault within which all gateways must
+	// serve again.
+	recoveryTime = 6 * time.Second
 )
 
-// versionAt is when the store had a version of the configuration, and the idle
-// limit of callers' connections in it.
-type versionAt struct {
+// configVersion is a version of the configuration, with the time at which it was
+// stored and its idle limit of callers' connections.
+type configVersion struct {
 	version int
-	// from is before the store was given it, at is after.
-	from, at  time.Time
-	idleLimit time.Duration
+	// submittedAt is the time before it was put into the store, storedAt the time
+	// after that.
+	submittedAt, storedAt time.Time
+	idleLimit             time.Duration
 }
 
-// departure is when an upstream said that it leaves.
-type departure struct {
+// drain is the time at which an upstream announced that it is draining.
+type drain struct {
 	upstream string
 	at       time.Time
 }
 
-// world is one seed's processes, stand-ins and what was seen of them.
-type world struct {
-	seed      uint64
-	block     uint64
-	claim     net.Listener
-	binary    string
-	folder    string
-	store     *standin.Store
-	servers   []*http.Server
-	upstreams []*upstream
-	processes []*gatewayProcess
-	ledger    *ledger
-	begun     time.Time
-	end       time.Time
+// testbed holds the processes and stand-ins of one seed and the observations made
+// of them.
+type testbed struct {
+	seed          uint64
+	addressBlock  uint64
+	blockListener net.Listener
+	binary        string
+	folder        string
+	store         *standin.Store
+	servers       []*http.Server
+	upstreams     []*upstream
+	processes     []*gatewayProcess
+	requestLog    *requestLog
+	startedAt     time.Time
+	faultsEndAt   time.Time
 
-	// storeLinks are the gateways' ways to the store.
+	// storeLinks are the relays between the gateways and the store.
 	storeLinks []*relay.Relay
 
-	mu         sync.Mutex
-	calls      []call
-	probes     []call
-	faults     []*fault
-	versions   []versionAt
-	departures []departure
-	findings   []string
-	born       int
-	// closing ends when callers are to end.
-	closing chan struct{}
+	mu               sync.Mutex
+	calls            []call
+	probes           []call
+	faults           []*fault
+	versions         []configVersion
+	drains           []drain
+	findings         []string
+	upstreamsStarted int
+	// stopCallers is closed when the callers must stop.
+	stopCallers chan struct{}
 
-	// configuring is held while the store is given a version.
-	configuring sync.Mutex
+	// configMu is held while a configuration version is stored.
+	configMu sync.Mutex
 }
 
-// newWorld starts the stand-ins and the gateways of a seed.
-func newWorld(seed uint64, binary, folder string, length time.Duration) (*world, error) {
-	w := &world{
-		seed: seed, binary: binary, folder: folder, store: standin.NewStore(), ledger: newLedger(),
-		begun: time.Now(), end: time.Now().Add(length), closing: make(chan struct{}),
+// newTestbed starts the stand-ins and gateways of a seed.
+func newTestbed(seed uint64, binary, folder string, duration time.Duration) (*testbed, error) {
+	tb := &testbed{
+		seed: seed, binary: binary, folder: folder, store: standin.NewStore(), requestLog: newRequestLog(),
+		startedAt: time.Now(), faultsEndAt: time.Now().Add(duration), stopCallers: make(chan struct{}),
 	}
-	configure(w, rand.New(rand.NewPCG(seed, 0x69646c65)))
-	for _, start := range []func() error{w.claimBlock, w.startStore, w.startUpstreams, w.startGateways} {
+	changeConfig(tb, rand.New(rand.NewPCG(seed, 0x69646c65)))
+	for _, start := range []func() error{tb.reserveAddressBlock, tb.startStore, tb.startUpstreams, tb.startGateways} {
 		if err := start(); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return tb, nil
 }
 
 const (
-	// blocks is how many blocks of loopback addresses there are, and blockPort
-	// the port whose listener shows that a block is taken.
-	blocks    = 200 * 250
-	blockPort = 7999
+	// blockCount is the number of blocks of loopback addresses, and blockPort the
+	// port whose listener marks a block as taken.
+	blockCount = 200 * 250
+	blockPort  = 7999
 )
 
-// claimBlock takes a block of loopback addresses that no other world has, also
-// not one of another run of the tests on the same machine.
-func (w *world) claimBlock() error {
+// reserveAddressBlock reserves a block of loopback addresses that no other testbed
+// on the machine uses, including those of other test runs.
+func (tb *testbed) reserveAddressBlock() error {
 	var err error
 	for i := range uint64(100) {
-		w.block = (w.seed + i*blocks/100) % blocks
-		w.claim, err = net.Listen("tcp", net.JoinHostPort(w.address(1), strconv.Itoa(blockPort)))
+		tb.addressBlock = (tb.seed + i*blockCount/100) % blockCount
+		tb.blockListener, err = net.Listen("tcp", net.JoinHostPort(tb.address(1), strconv.Itoa(blockPort)))
 		if err == nil {
 			return nil
 		}
@@ -120,252 +124,255 @@
 	return err
 }
 
-// address returns an address of the world's own block, so that seeds run side by
-// side.
-func (w *world) address(host int) string {
-	return fmt.Sprintf("127.%d.%d.%d", 20+w.block%200, 1+w.block/200, host)
+// address returns an address of the testbed's own block, so that seeds can run in
+// parallel.
+func (tb *testbed) address(host int) string {
+	return fmt.Sprintf("127.%d.%d.%d", 20+tb.addressBlock%200, 1+tb.addressBlock/200, host)
 }
 
-func (w *world) startStore() error {
-	inner, err := net.Listen("tcp", w.address(100)+":8000")
+func (tb *testbed) startStore() error {
+	inner, err := net.Listen("tcp", tb.address(100)+":8000")
 	if err != nil {
 		return err
 	}
-	server := &http.Server{Handler: w.store, ReadHeaderTimeout: time.Minute}
-	w.servers = append(w.servers, server)
+	server := &http.Server{Handler: tb.store, ReadHeaderTimeout: time.Minute}
+	tb.servers = append(tb.servers, server)
 	go func() { _ = server.Serve(inner) }()
 	for i := range gateways {
-		outer, err := net.Listen("tcp", fmt.Sprintf("%s:%d", w.address(100), 8001+i))
+		outer, err := net.Listen("tcp", fmt.Sprintf("%s:%d", tb.address(100), 8001+i))
 		if err != nil {
 			return err
 		}
-		w.storeLinks = append(w.storeLinks, relay.New(outer, inner.Addr().String()))
+		tb.storeLinks = append(tb.storeLinks, relay.New(outer, inner.Addr().String()))
 	}
 	return nil
 }
 
-func (w *world) startUpstreams() error {
-	for i := range tutors + desks {
+func (tb *testbed) startUpstreams() error {
+	for i := range tutorUpstreams + deskUpstreams {
 		service := "tutor"
-		if i >= tutors {
+		if i >= tutorUpstreams {
 			service = "desk"
 		}
-		u, err := newUpstream(service, w.nextUpstream(service), w.address(150+i), w.ledger, w.store)
+		u, err := newUpstream(service, tb.nextUpstream(service), tb.address(150+i), tb.requestLog, tb.store)
 		if err != nil {
 			return err
 		}
-		w.upstreams = append(w.upstreams, u)
+		tb.upstreams = append(tb.upstreams, u)
 	}
 	return nil
 }
 
-func (w *world) nextUpstream(service string) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.born++
-	return fmt.Sprintf("%s-%d", service, w.born)
+func (tb *testbed) nextUpstream(service string) string {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.upstreamsStarted++
+	return fmt.Sprintf("%s-%d", service, tb.upstreamsStarted)
 }
 
-func (w *world) startGateways() error {
+func (tb *testbed) startGateways() error {
 	for i := range gateways {
-		g, err := newGatewayProcess(w, i, w.storeLinks[i].Addr())
+		g, err := newGatewayProcess(tb, i, tb.storeLinks[i].Addr())
 		if err != nil {
 			return err
 		}
-		w.processes = append(w.processes, g)
+		tb.processes = append(tb.processes, g)
 		go g.run()
 	}
 	return nil
 }
 
-func (w *world) report(finding string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.findings = append(w.findings, fmt.Sprintf("%.3f s: %s", time.Since(w.begun).Seconds(), finding))
+func (tb *testbed) report(finding string) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.findings = append(tb.findings, fmt.Sprintf("%.3f s: %s", time.Since(tb.startedAt).Seconds(), finding))
 }
 
-func (w *world) note(c call) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.calls = append(w.calls, c)
+func (tb *testbed) recordCall(c call) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.calls = append(tb.calls, c)
 }
 
-func (w *world) over() bool {
+func (tb *testbed) stopping() bool {
 	select {
-	case <-w.closing:
+	case <-tb.stopCallers:
 		return true
 	default:
 		return false
 	}
 }
 
-// fault notes the beginning of a fault and returns what notes its end.
-func (w *world) fault(name string, gateway int, store, upstream bool) func() {
+// beginFault records the start of a fault and returns a function that records its
+// end.
+func (tb *testbed) beginFault(name string, gateway int, store, upstream bool) func() {
 	f := &fault{name: name, gateway: gateway, store: store, upstream: upstream, from: time.Now()}
-	w.mu.Lock()
-	w.faults = append(w.faults, f)
-	w.mu.Unlock()
+	tb.mu.Lock()
+	tb.faults = append(tb.faults, f)
+	tb.mu.Unlock()
 	return func() {
-		w.mu.Lock()
+		tb.mu.Lock()
 		f.until = time.Now()
-		w.mu.Unlock()
+		tb.mu.Unlock()
 	}
 }
 
-// mayLeave tells whether another upstream of the service stays, and notes the
-// departure.
-func (w *world) mayLeave(u *upstream) bool {
+// reserveDrain records the drain of an upstream and returns true, unless the
+// upstream is down, no other upstream of its service is up, or another drain is
+// recent.
+func (tb *testbed) reserveDrain(u *upstream) bool {
 	id, up := u.identity()
-	stays := false
-	for _, other := range w.upstreams {
+	otherServes := false
+	for _, other := range tb.upstreams {
 		_, otherUp := other.identity()
-		stays = stays || (other != u && other.service == u.service && otherUp)
+		otherServes = otherServes || (other != u && other.service == u.service && otherUp)
 	}
-	if !up || !stays {
+	if !up || !otherServes {
 		return false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, d := range w.departures {
-		if time.Since(d.at) < 2*leaveAfter {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	for _, d := range tb.drains {
+		if time.Since(d.at) < 2*drainTime {
 			return false
 		}
 	}
-	w.departures = append(w.departures, departure{id, time.Now()})
+	tb.drains = append(tb.drains, drain{id, time.Now()})
 	return true
 }
 
-// play injects the seed's faults while callers call, heals all, and makes a last
-// round of calls.
-func (w *world) play() {
-	var work sync.WaitGroup
-	work.Go(w.heartbeats)
-	work.Go(w.probe)
+// run injects the seed's faults while callers send requests, clears all faults and
+// checks that the gateways recover.
+func (tb *testbed) run() {
+	var running sync.WaitGroup
+	running.Go(tb.heartbeats)
+	running.Go(tb.probe)
 	<-time.After(time.Second)
 	for i := range callers {
-		work.Go(newCaller(w, i).run)
+		running.Go(newCaller(tb, i).run)
 	}
-	for i := range restingGroups {
-		work.Go(newRestingGroup(w, i).run)
+	for i := range idleGroups {
+		running.Go(newIdleGroup(tb, i).run)
 	}
-	w.injectFaults()
-	w.heal()
-	<-time.After(settle)
-	close(w.closing)
-	work.Wait()
-	w.lastRound()
+	tb.injectFaults()
+	tb.clearFaults()
+	<-time.After(recoveryTime)
+	close(tb.stopCallers)
+	running.Wait()
+	tb.checkRecovery()
 }
 
-func (w *world) heartbeats() {
-	for !w.over() {
-		for _, u := range w.upstreams {
+func (tb *testbed) heartbeats() {
+	for !tb.stopping() {
+		for _, u := range tb.upstreams {
 			u.register()
 		}
-		<-time.After(heartbeat)
+		<-time.After(heartbeatInterval)
 	}
 }
 
-// probe asks each gateway for the routes that come and go.
-func (w *world) probe() {
+// probe requests the routes of the newest and the previous configuration version
+// from each gateway.
+func (tb *testbed) probe() {
 	probers := make([]*caller, gateways)
 	for i := range probers {
-		probers[i] = newCaller(w, callers+i)
+		probers[i] = newCaller(tb, callers+i)
 		probers[i].gateway = i
-		defer probers[i].drop()
+		defer probers[i].closeConnection()
 	}
-	for !w.over() {
-		w.mu.Lock()
-		newest := w.versions[len(w.versions)-1].version
-		w.mu.Unlock()
+	for !tb.stopping() {
+		tb.mu.Lock()
+		newest := tb.versions[len(tb.versions)-1].version
+		tb.mu.Unlock()
 		for _, c := range probers {
 			for _, version := range []int{newest, newest - 1} {
-				made := c.call(kinds[1], versionPath(version)+"x")
-				w.mu.Lock()
-				w.probes = append(w.probes, made)
-				w.mu.Unlock()
+				result := c.call(kinds[1], versionPath(version)+"x")
+				tb.mu.Lock()
+				tb.probes = append(tb.probes, result)
+				tb.mu.Unlock()
 			}
 		}
-		<-time.After(probeEvery)
+		<-time.After(probeInterval)
 	}
 }
 
-// injectFaults makes faults of the themes that the seed draws until the time is
-// over. They begin independently of each other, so they overlap.
-func (w *world) injectFaults() {
-	random := rand.New(rand.NewPCG(w.seed, 0x736f616b))
-	makers := slices.Clone(configurations)
-	for _, theme := range themes {
+// injectFaults injects faults of the groups that the seed selects until
+// faultsEndAt. Faults start independently of each other, so they overlap.
+func (tb *testbed) injectFaults() {
+	random := rand.New(rand.NewPCG(tb.seed, 0x736f616b))
+	faultKinds := slices.Clone(configChanges)
+	for _, group := range faultGroups {
 		if random.IntN(10) < 6 {
-			makers = append(makers, theme...)
+			faultKinds = append(faultKinds, group...)
 		}
 	}
 	var running sync.WaitGroup
-	for time.Now().Before(w.end) {
-		<-time.After(time.Duration(random.ExpFloat64() * float64(faultPause)))
-		m := makers[random.IntN(len(makers))]
-		own := rand.New(rand.NewPCG(random.Uint64(), w.seed))
-		running.Go(func() { m.make(w, own) })
+	for time.Now().Before(tb.faultsEndAt) {
+		<-time.After(time.Duration(random.ExpFloat64() * float64(meanFaultInterval)))
+		kind := faultKinds[random.IntN(len(faultKinds))]
+		faultRandom := rand.New(rand.NewPCG(random.Uint64(), tb.seed))
+		running.Go(func() { kind.inject(tb, faultRandom) })
 	}
 	running.Wait()
 }
 
-// heal ends whatever still lasts.
-func (w *world) heal() {
-	w.store.SetFault(standin.None)
-	for _, g := range w.processes {
+// clearFaults ends all faults that are still active.
+func (tb *testbed) clearFaults() {
+	tb.store.SetFault(standin.None)
+	for _, g := range tb.processes {
 		g.signal(syscall.SIGCONT)
 	}
-	for _, u := range w.upstreams {
-		u.sick.Store(int32(well))
+	for _, u := range tb.upstreams {
+		u.failureMode.Store(int32(healthy))
 		u.relay.SetMute(false)
 		u.relay.SetDelay(0)
 	}
-	for _, l := range w.storeLinks {
+	for _, l := range tb.storeLinks {
 		l.SetMute(false)
 		l.SetDelay(0)
 	}
 }
 
-// lastRound demands that all gateways serve all kinds again.
-func (w *world) lastRound() {
+// checkRecovery checks that all gateways serve all kinds of requests again.
+func (tb *testbed) checkRecovery() {
 	for i := range gateways {
-		c := newCaller(w, 100+i)
+		c := newCaller(tb, 100+i)
 		c.gateway = i
 		for _, k := range kinds {
 			for range 3 {
-				made := c.call(k, k.path)
-				w.note(made)
-				if made.err != nil || made.status != http.StatusOK {
-					w.report(fmt.Sprintf("%s after all was well again: %s got %d, %v (%s)", w.processes[i].name, k.name, made.status, made.err, made.id))
+				result := c.call(k, k.path)
+				tb.recordCall(result)
+				if result.err != nil || result.status != http.StatusOK {
+					tb.report(fmt.Sprintf("%s after all faults were cleared: %s got status %d, error %v (%s)", tb.processes[i].name, k.name, result.status, result.err, result.id))
 				}
 			}
 		}
-		c.drop()
+		c.closeConnection()
 	}
 }
 
-// close ends all and waits.
-func (w *world) close() error {
+// close stops the gateways and stand-ins and waits until they have ended.
+func (tb *testbed) close() error {
 	var group errgroup.Group
-	for _, g := range w.processes {
+	for _, g := range tb.processes {
 		group.Go(g.close)
 	}
 	err := group.Wait()
-	for _, u := range w.upstreams {
+	for _, u := range tb.upstreams {
 		u.close()
 	}
-	for _, l := range w.storeLinks {
+	for _, l := range tb.storeLinks {
 		err = errors.Join(err, l.Close())
 	}
-	for _, s := range w.servers {
+	for _, s := range tb.servers {
 		err = errors.Join(err, s.Close())
 	}
-	return errors.Join(err, w.claim.Close())
+	return errors.Join(err, tb.blockListener.Close())
 }
 
-// keepOrRemove removes the logs of a seed without findings.
-func (w *world) keepOrRemove() {
-	if len(w.findings) == 0 {
-		_ = os.RemoveAll(w.folder)
+// removeLogsIfPassed removes the logs of a seed that has no findings.
+func (tb *testbed) removeLogsIfPassed() {
+	if len(tb.findings) == 0 {
+		_ = os.RemoveAll(tb.folder)
 	}
 }
--- a/internal/trial/soak/verify_test.go
+++ b/internal/trial/soak/verify_test.go
@@ -7,149 +7,156 @@
 )
 
 const (
-	// applyWithin is when a configuration must be in force and a leaving
-	// upstream get nothing new, and judgeSlack what a busy machine adds.
-	applyWithin = 2 * time.Second
-	judgeSlack  = time.Second
+	// applyTimeout is the time within which a configuration must be in effect and a
+	// draining upstream must receive no new requests; checkSlack is the delay that
+	// a busy machine may add.
+	applyTimeout = 2 * time.Second
+	checkSlack   = time.Second
 )
 
-// judge compares what callers saw with what upstreams ran, after all ended.
-func (w *world) judge() {
-	for _, c := range w.calls {
-		w.judgeRuns(c)
-		w.judgeAnswer(c)
-		w.judgePassedOn(c)
-		w.judgeEnd(c)
-		w.judgeDepartures(c)
-	}
-	for _, p := range w.probes {
-		w.judgePassedOn(p)
-		w.judgeVersion(p)
+// check compares what callers observed with what upstreams executed. It is called
+// after all processes have ended.
+func (tb *testbed) check() {
+	for _, c := range tb.calls {
+		tb.checkExecutions(c)
+		tb.checkAnswer(c)
+		tb.checkForwarded(c)
+		tb.checkAnswered(c)
+		tb.checkDrained(c)
+	}
+	for _, p := range tb.probes {
+		tb.checkForwarded(p)
+		tb.checkVersion(p)
 	}
 }
 
-func (w *world) accuse(c call, format string, args ...any) {
-	w.report(fmt.Sprintf("%s %s by %s, sent at %.3f s: %s", c.kind.name, c.id, w.processes[c.gateway].name,
-		c.sent.Sub(w.begun).Seconds(), fmt.Sprintf(format, args...)))
+func (tb *testbed) reportCall(c call, format string, args ...any) {
+	tb.report(fmt.Sprintf("%s %s by %s, sent at %.3f s: %s", c.kind.name, c.id, tb.processes[c.gateway].name,
+		c.sent.Sub(tb.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// judgeRuns: nothing runs twice that may not, nothing that was said not to have
-// run, and nothing with another path or body.
-func (w *world) judgeRuns(c call) {
-	runs := w.ledger.of(c.id)
-	if c.kind.once && len(runs) > 1 {
-		w.accuse(c, "ran %d times: %v", len(runs), runs)
+// checkExecutions checks that requests that must run at most once were executed at
+// most once, that refused requests were not executed, and that requests were
+// executed with their own path and body.
+func (tb *testbed) checkExecutions(c call) {
+	executions := tb.requestLog.executionsOf(c.id)
+	if c.kind.atMostOnce && len(executions) > 1 {
+		tb.reportCall(c, "was executed %d times: %v", len(executions), executions)
 	}
 	switch c.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		if len(runs) > 0 {
-			w.accuse(c, "was refused with %d and ran: %v", c.status, runs)
+		if len(executions) > 0 {
+			tb.reportCall(c, "was refused with status %d but executed: %v", c.status, executions)
 		}
 	}
-	for _, r := range runs {
+	for _, r := range executions {
 		if r.path != c.path || (c.kind.method == http.MethodPost && r.body != "body of "+c.id) {
-			w.accuse(c, "ran with path %q and body %q", r.path, r.body)
+			tb.reportCall(c, "was executed with path %q and body %q", r.path, r.body)
 		}
 	}
 }
 
-// judgeAnswer: a success is the whole answer of this request, also in part.
-func (w *world) judgeAnswer(c call) {
-	if c.err == nil && c.status == http.StatusOK && !c.whole() {
-		w.accuse(c, "got a success that is not its whole answer: %q", c.body)
+// checkAnswer checks that a successful answer is the complete answer to this
+// request, that a partial stream consists of complete events of it, and that no
+// request was denied.
+func (tb *testbed) checkAnswer(c call) {
+	if c.err == nil && c.status == http.StatusOK && !c.complete() {
+		tb.reportCall(c, "got status 200 with an incomplete or foreign answer: %q", c.body)
 	}
-	if !c.inPieces() {
-		w.accuse(c, "got a torn or foreign piece: %q", c.body)
+	if !c.isEventPrefix() {
+		tb.reportCall(c, "got a stream with an incomplete or foreign event: %q", c.body)
 	}
 	switch c.status {
 	case http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound:
-		w.accuse(c, "was denied with %d", c.status)
+		tb.reportCall(c, "was denied with status %d", c.status)
 	}
 }
 
-// judgeEnd: a call at a gateway that nothing befell but planned work ends with
-// an answer.
-func (w *world) judgeEnd(c call) {
-	if c.err == nil || c.unsent || w.troubled(c, true) {
+// checkAnswered checks that a call was answered if its gateway was affected by no
+// fault other than planned stops. Calls that met a closed connection are excepted.
+func (tb *testbed) checkAnswered(c call) {
+	if c.err == nil || c.notConnected || tb.disturbed(c, true) {
 		return
 	}
-	if w.crossed(c) {
+	if tb.metClosedConnection(c) {
 		return
 	}
-	w.accuse(c, "got no answer (%v) although nothing befell its gateway but planned work; status %d, runs %v", c.err, c.status, w.ledger.of(c.id))
+	tb.reportCall(c, "got no answer (%v) although no fault affected its gateway except planned stops; status %d, executions %v", c.err, c.status, tb.requestLog.executionsOf(c.id))
 }
 
-// crossed tells whether a call met the end of its connection and was not passed
-// on.
-func (w *world) crossed(c call) bool {
-	return c.err != nil && !c.unsent && c.status == 0 && !c.left() && len(w.ledger.seenBy(c.id)) == 0
+// metClosedConnection reports whether the gateway closed the connection while the
+// call was sent, so that the call was not forwarded.
+func (tb *testbed) metClosedConnection(c call) bool {
+	return c.err != nil && !c.notConnected && c.status == 0 && !c.timedOut() && len(tb.requestLog.receiversOf(c.id)) == 0
 }
 
-// judgePassedOn: a request that an upstream saw does not end with a closed
-// connection and no answer, not even in trouble: a gateway that gets no answer
-// says so. Only what was done to its gateway or that upstream itself excuses it.
-func (w *world) judgePassedOn(c call) {
-	seen := w.ledger.seenBy(c.id)
-	if c.err == nil || c.status != 0 || c.left() || len(seen) == 0 {
+// checkForwarded checks that a request that an upstream received does not end with
+// a closed connection and no answer, not even during faults: a gateway that gets
+// no answer must respond with an error. The only exceptions are disruptions of the
+// gateway or of that upstream by the test itself.
+func (tb *testbed) checkForwarded(c call) {
+	receivers := tb.requestLog.receiversOf(c.id)
+	if c.err == nil || c.status != 0 || c.timedOut() || len(receivers) == 0 {
 		return
 	}
-	if w.processes[c.gateway].harms.meet(c.sent, c.ended) {
+	if tb.processes[c.gateway].disruptions.overlaps(c.sent, c.ended) {
 		return
 	}
-	for _, u := range seen {
-		if u.harms.meet(c.sent, c.ended) {
+	for _, u := range receivers {
+		if u.disruptions.overlaps(c.sent, c.ended) {
 			return
 		}
 	}
-	w.accuse(c, "was passed on %d times, and its connection, %s at rest before, was closed after %s without an answer: %v",
-		len(seen), c.rested, c.ended.Sub(c.sent), c.err)
+	tb.reportCall(c, "was forwarded %d times, and its connection, idle for %s before, was closed after %s without an answer: %v",
+		len(receivers), c.idleBefore, c.ended.Sub(c.sent), c.err)
 }
 
-// judgeDepartures: an upstream that said it leaves gets nothing new.
-func (w *world) judgeDepartures(c call) {
-	for _, d := range w.departures {
-		bound := d.at.Add(applyWithin + judgeSlack)
-		for _, r := range w.ledger.of(c.id) {
-			if r.upstream != d.upstream || !r.at.After(bound) || !c.sent.After(bound) {
+// checkDrained checks that a draining upstream receives no new requests.
+func (tb *testbed) checkDrained(c call) {
+	for _, d := range tb.drains {
+		deadline := d.at.Add(applyTimeout + checkSlack)
+		for _, r := range tb.requestLog.executionsOf(c.id) {
+			if r.upstream != d.upstream || !r.at.After(deadline) || !c.sent.After(deadline) {
 				continue
 			}
-			span := c
-			span.sent = d.at
-			if !w.troubled(span, false) {
-				w.accuse(c, "ran at %s %s after that said it leaves", d.upstream, r.at.Sub(d.at))
+			window := c
+			window.sent = d.at
+			if !tb.disturbed(window, false) {
+				tb.reportCall(c, "was executed at %s %s after its drain was announced", d.upstream, r.at.Sub(d.at))
 			}
 		}
 	}
 }
 
-// judgeVersion: a version is in force within its time, and the one before not.
-func (w *world) judgeVersion(p call) {
-	for i, v := range w.versions {
-		if p.sent.Before(v.at.Add(applyWithin+judgeSlack)) || (i+1 < len(w.versions) && p.ended.After(w.versions[i+1].from)) {
+// checkVersion checks that a configuration version is in effect within
+// applyTimeout, and the previous one no longer.
+func (tb *testbed) checkVersion(probe call) {
+	for i, v := range tb.versions {
+		if probe.sent.Before(v.storedAt.Add(applyTimeout+checkSlack)) || (i+1 < len(tb.versions) && probe.ended.After(tb.versions[i+1].submittedAt)) {
 			continue
 		}
-		span := p
-		span.sent = v.at
-		if w.troubled(span, false) {
+		window := probe
+		window.sent = v.storedAt
+		if tb.disturbed(window, false) {
 			continue
 		}
-		if p.path == versionPath(v.version)+"x" && p.status == http.StatusNotFound {
-			w.accuse(p, "got 404 for a route of version %d, %s after the store had it", v.version, p.sent.Sub(v.at))
+		if probe.path == versionPath(v.version)+"x" && probe.status == http.StatusNotFound {
+			tb.reportCall(probe, "got status 404 for a route of version %d, %s after the version was stored", v.version, probe.sent.Sub(v.storedAt))
 		}
-		if p.path == versionPath(v.version-1)+"x" && p.status == http.StatusOK {
-			w.accuse(p, "was served by a route that version %d dropped %s before", v.version, p.sent.Sub(v.at))
+		if probe.path == versionPath(v.version-1)+"x" && probe.status == http.StatusOK {
+			tb.reportCall(probe, "was served by a route that version %d, stored %s before, had dropped", v.version, probe.sent.Sub(v.storedAt))
 		}
 	}
 }
 
-// troubled tells whether something befell the call's gateway between its sending
-// and its end; planned work does not count if it is not to.
-func (w *world) troubled(c call, plannedIsCalm bool) bool {
-	for _, f := range w.faults {
-		if plannedIsCalm && f.name == "stop" {
+// disturbed reports whether a fault affected the call's gateway during the call.
+// Planned stops are not counted if ignorePlanned is set.
+func (tb *testbed) disturbed(c call, ignorePlanned bool) bool {
+	for _, f := range tb.faults {
+		if ignorePlanned && f.name == "stop" {
 			continue
 		}
-		if f.befalls(c.gateway, c.sent, c.ended) {
+		if f.affects(c.gateway, c.sent, c.ended) {
 			return true
 		}
 	}
