--- a/internal/dispatch/index/index.go
+++ b/internal/dispatch/index/index.go
@@ -40,8 +40,7 @@
 type Traffic struct {
 	// Rate is the number of arrivals per second over all upstreams.
 	Rate float64
-	// MeanSize and MeanSquare are the first two moments of the service time at
-	// speed 1, in seconds.
+	// The first two moments of the service time at speed 1, in seconds.
 	MeanSize   float64
 	MeanSquare float64
 }
@@ -62,8 +61,7 @@
 	"cached-lookahead":    CachedLookahead,
 }
 
-// RandomOfTwo chooses the shorter queue of two random upstreams (power of two
-// choices).
+// RandomOfTwo chooses the shorter one of the queues of two random upstreams.
 func RandomOfTwo(views []View, _ Job, _ Traffic, random *rand.Rand) int {
 	a, b := random.IntN(len(views)), random.IntN(len(views))
 	if views[b].Jobs < views[a].Jobs {
--- a/internal/upstream/answer/answer.go
+++ b/internal/upstream/answer/answer.go
@@ -24,8 +24,8 @@
 	Closed = namespace.NewType("closed")
 )
 
-// maxChunkBytes is the maximum number of body bytes in a Piece; it is well below
-// the maximum frame size.
+// maxChunkBytes is the maximum number of body bytes that Next returns at once; it
+// is well below the maximum frame size.
 const maxChunkBytes = 32 << 10
 
 // Piece is the next part of an answer to send: its head, body bytes or its end.
@@ -153,9 +153,9 @@
 // head if needHead is set, then bytes from offset, then the end.
 func (b *Buffer) Next(ctx context.Context, needHead bool, offset uint64) (Piece, error) {
 	for {
-		piece, ready, changed, err := b.poll(needHead, offset)
+		chunk, ready, changed, err := b.poll(needHead, offset)
 		if err != nil || ready {
-			return piece, err
+			return chunk, err
 		}
 		select {
 		case <-changed:
--- a/internal/upstream/answer/answer_test.go
+++ b/internal/upstream/answer/answer_test.go
@@ -39,18 +39,18 @@
 				written = until
 				continue
 			}
-			piece, err := b.Next(ctx, false, uint64(len(read)))
+			chunk, err := b.Next(ctx, false, uint64(len(read)))
 			require.NoError(t, err)
-			require.Equal(t, uint64(len(read)), piece.Offset())
-			read = append(read, piece.Data()...)
+			require.Equal(t, uint64(len(read)), chunk.Offset())
+			read = append(read, chunk.Data()...)
 			if rapid.Bool().Draw(t, "ack") {
 				b.Ack(uint64(rapid.IntRange(0, len(read)).Draw(t, "acked")))
 			}
 		}
 		b.Finish(wire.End_OUTCOME_ANSWERED, "")
-		piece, err := b.Next(ctx, false, uint64(len(read)))
+		chunk, err := b.Next(ctx, false, uint64(len(read)))
 		require.NoError(t, err)
-		require.Equal(t, uint64(len(body)), piece.End().GetLength())
+		require.Equal(t, uint64(len(body)), chunk.End().GetLength())
 		require.Equal(t, body, read)
 	})
 }
--- a/internal/upstream/suspect/suspect.go
+++ b/internal/upstream/suspect/suspect.go
@@ -66,7 +66,7 @@
 	convicted map[uint64]time.Time
 }
 
-// New returns an empty register.
+// New returns a registry without crashes.
 func New() *Register { return &Register{convicted: make(map[uint64]time.Time)} }
 
 // Learn records a crash that was observed here or reported by a peer, and returns
