--- a/cmd/persimmonridge/explain.go
+++ b/cmd/persimmonridge/explain.go
@@ -8,7 +8,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/observe/explain"
 )
 
-// explainCommand tells a request's story from logs.
+// explainCommand prints what happened to a request according to the logs.
 type explainCommand struct {
 	ID    string   `arg:"" help:"The request's id."`
 	Files []string `arg:"" type:"existingfile" help:"Log files, one for each process."`
@@ -36,8 +36,8 @@
 			return err
 		}
 	}
-	return fmt.Errorf("no line of request %s in %d files: it never reached these processes, or one was killed that had it, "+
-		"or it went well and was left out in a burst", c.ID, len(c.Files))
+	return fmt.Errorf("no log line of request %s in %d files: the request never reached these processes, or the process that handled it was killed, "+
+		"or it succeeded and its line was left out during a burst", c.ID, len(c.Files))
 }
 
 func readLog(name string) (log *explain.Log, err error) {
--- a/cmd/persimmonridge/gateway.go
+++ b/cmd/persimmonridge/gateway.go
@@ -20,79 +20,80 @@
 	"github.com/persimmonridge/persimmonridge/platform"
 )
 
-// memoryShare is the part of a process's memory at which collections become
-// frequent; the rest is for buffers of the kernel that count as well.
-const memoryShare = 0.6
+// memoryLimitShare is the fraction of the process's memory set as the memory
+// limit of the Go runtime, near which collections become frequent; kernel
+// buffers, which count towards the same memory, need the rest.
+const memoryLimitShare = 0.6
 
 const (
-	// settingsEvery is how often the settings file is read again.
-	settingsEvery = 2 * time.Second
-	// flushWithin bounds the writing of the last lines of the log.
-	flushWithin = 200 * time.Millisecond
+	// settingsPollInterval is the interval at which the settings are read again.
+	settingsPollInterval = 2 * time.Second
+	// logFlushTimeout limits the time to write the remaining log lines at exit.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
 type gatewayCommand struct{}
 
 // Run implements kong's command.
 func (c *gatewayCommand) Run(ctx context.Context) error {
-	// The signal also ends a process that does not ask for it.
+	// Without a handler SIGHUP would end the process.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	defer signal.Stop(reloads)
 	handler := logs.New(os.Stdout, time.Now)
 	logger := slog.New(handler)
 	err := c.serve(ctx, handler, logger, reloads)
-	flush, cancel := context.WithTimeout(context.Background(), flushWithin)
+	flushCtx, cancel := context.WithTimeout(context.Background(), logFlushTimeout)
 	defer cancel()
-	return errors.Join(err, handler.Close(flush))
+	return errors.Join(err, handler.Close(flushCtx))
 }
 
 func (c *gatewayCommand) serve(ctx context.Context, handler *logs.Handler, logger *slog.Logger, reloads <-chan os.Signal) error {
 	node, err := platform.LoadNode()
 	if err != nil {
-		logger.Error("settings refused", "err", err)
+		logger.Error("invalid settings", "err", err)
 		return err
 	}
-	debug.SetMemoryLimit(int64(float64(node.MemoryBytes) * memoryShare))
+	debug.SetMemoryLimit(int64(float64(node.MemoryBytes) * memoryLimitShare))
 	g := gateway.New(gateway.Parts{
-		Settings: settingsOf(node), Store: platform.NewStore(node.Store, dial.Dialer{}.DialContext),
+		Settings: gatewaySettings(node), Store: platform.NewStore(node.Store, dial.Dialer{}.DialContext),
 		Decoder: platform.Decoder{}, Translator: platform.Headers{}, Names: platform.AnswerNames(),
 		Dialer: dial.Dialer{}, Listen: net.Listen, Logger: logger, LeftOut: handler.LeftOut, Now: time.Now,
 	})
-	watching, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go watchSettings(watching, reloads, node, g, logger)
+	go watchSettings(watchCtx, reloads, node, g, logger)
 	return g.Run(ctx)
 }
 
-// watchSettings reads the settings again when the platform signals a change,
-// and every settingsEvery, because they also change without a signal. Settings
-// that cannot be used change nothing.
+// watchSettings reads the settings again on SIGHUP and every settingsEvery,
+// because they also change without a signal. Invalid settings are logged and
+// ignored.
 func watchSettings(ctx context.Context, reloads <-chan os.Signal, current platform.Node, g *gateway.Gateway, logger *slog.Logger) {
-	ticker := time.NewTicker(settingsEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-reloads:
-			logger.Info("told that the settings changed")
+			logger.Info("reading the settings again after SIGHUP")
 		case <-ticker.C:
 		}
 		next, err := platform.LoadNode()
 		if err != nil {
-			logger.Error("changed settings refused, the old ones stay in force", "err", err)
+			logger.Error("changed settings are invalid; the previous settings stay in force", "err", err)
 			continue
 		}
 		if reflect.DeepEqual(next, current) {
 			continue
 		}
 		current = next
-		g.Reload(settingsOf(next))
+		g.Reload(gatewaySettings(next))
 	}
 }
 
-func settingsOf(node platform.Node) gateway.Settings {
+func gatewaySettings(node platform.Node) gateway.Settings {
 	return gateway.Settings{
 		Name: node.Name, Domain: node.Domain, Callers: node.Callers, Readiness: node.Readiness,
 		Links: node.Links, Metrics: node.Metrics, Seeds: node.Seeds, Grace: node.Grace, Apply: node.Apply,
--- a/cmd/persimmonridge/main.go
+++ b/cmd/persimmonridge/main.go
@@ -1,5 +1,5 @@
-// Command persimmonridge is the whole system in one binary: the roles, the
-// operators' commands, and a trial that needs nothing else.
+// Command persimmonridge runs every role of the system, the operators' commands
+// and a self-contained load trial.
 package main
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli lists the commands.
+// cli defines the command line.
 type cli struct {
 	Gateway gatewayCommand `cmd:"" help:"Run a gateway: the process on an edge VM of the platform."`
-	Explain explainCommand `cmd:"" help:"Tell from logs what became of a request."`
-	Entry   entryCommand   `cmd:"" help:"Run an entry: the process that faces callers."`
-	Agent   agentCommand   `cmd:"" help:"Run an agent: the process beside one upstream."`
+	Explain explainCommand `cmd:"" help:"Reconstruct from logs what happened to a request."`
+	Entry   entryCommand   `cmd:"" help:"Run an entry: the process that accepts callers' requests."`
+	Agent   agentCommand   `cmd:"" help:"Run an agent: the process that runs next to one upstream."`
 	Check   checkCommand   `cmd:"" help:"Check inventory and rules files; list every finding."`
-	Apply   applyCommand   `cmd:"" help:"Submit inventory and rules; accepted or refused at once."`
-	Audit   auditCommand   `cmd:"" help:"List accepted changes: who, when, why, what."`
-	Status  statusCommand  `cmd:"" help:"Show what a running entry holds."`
+	Apply   applyCommand   `cmd:"" help:"Submit inventory and rules and report whether they were accepted."`
+	Audit   auditCommand   `cmd:"" help:"List accepted changes with author, time, reason and patch."`
+	Status  statusCommand  `cmd:"" help:"Show the status of a running entry."`
 	StandIn standInCommand `cmd:"" help:"Run a stand-in of the platform or of an upstream."`
-	Measure measureCommand `cmd:"" help:"Measure decisions and costs; the pages' tables come from here."`
-	Try     tryCommand     `cmd:"" help:"Run a whole small site in this process, under load, and report."`
+	Measure measureCommand `cmd:"" help:"Measure scheduling decisions and their costs; prints the tables of the documentation."`
+	Try     tryCommand     `cmd:"" help:"Run a small site in this process under load and report the results."`
 }
 
 func main() {
@@ -32,7 +32,7 @@
 	defer stop()
 	var commands cli
 	parsed := kong.Parse(&commands, kong.Name("persimmonridge"),
-		kong.Description("A request scheduler for unlike engines."), kong.UsageOnError(),
+		kong.Description("A request scheduler for heterogeneous engines."), kong.UsageOnError(),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "persimmonridge: "+err.Error())
--- a/cmd/persimmonridge/measure.go
+++ b/cmd/persimmonridge/measure.go
@@ -11,24 +11,24 @@
 )
 
 type measureCommand struct {
-	Moves    movesCommand    `cmd:"" help:"Play many seeded version moves, good and bad."`
-	Index    indexCommand    `cmd:"" help:"Compare the index's policies on the same seeded arrivals."`
-	Patterns measurePatterns `cmd:"" help:"Play load patterns against emulated engines, by policy."`
+	Moves    movesCommand    `cmd:"" help:"Simulate many seeded version moves, good and bad."`
+	Index    indexCommand    `cmd:"" help:"Compare placement policies on the same seeded arrivals."`
+	Patterns patternsCommand `cmd:"" help:"Run load patterns against emulated engines under each policy."`
 }
 
 type indexCommand struct {
-	Seeds int  `default:"5" help:"Seeds to average over."`
-	Jobs  int  `default:"20000" help:"Jobs a run."`
-	JSON  bool `name:"json" help:"One JSON object a line."`
+	Seeds int  `default:"5" help:"Number of seeds to average over."`
+	Jobs  int  `default:"20000" help:"Jobs per run."`
+	JSON  bool `name:"json" help:"Print one JSON object per line."`
 }
 
-// experiment is one block of the comparison.
+// experiment is one setting under which all policies are compared.
 type experiment struct {
 	Name    string         `json:"name"`
 	Setting policy.Setting `json:"setting"`
 }
 
-// speeds are twenty upstreams of four generations.
+// speeds returns the speeds of twenty upstreams of four generations.
 func speeds() []float64 {
 	var out []float64
 	for i := range 20 {
@@ -62,7 +62,7 @@
 	return list
 }
 
-// row is one policy's mean over the seeds.
+// row is the mean outcome of one policy over the seeds.
 type row struct {
 	Experiment string `json:"experiment"`
 	policy.Outcome
--- a/cmd/persimmonridge/measure_moves.go
+++ b/cmd/persimmonridge/measure_moves.go
@@ -12,8 +12,8 @@
 )
 
 type movesCommand struct {
-	Seeds int           `default:"100" help:"Moves of each kind."`
-	Rate  float64       `default:"20" help:"Requests a second of the service."`
+	Seeds int           `default:"100" help:"Number of moves of each kind."`
+	Rate  float64       `default:"20" help:"Requests per second of the service."`
 	Span  time.Duration `default:"1h" help:"Time from start to deadline."`
 }
 
--- a/cmd/persimmonridge/measure_patterns.go
+++ b/cmd/persimmonridge/measure_patterns.go
@@ -9,14 +9,14 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/pattern"
 )
 
-// measurePatterns plays load patterns against emulated engines.
-type measurePatterns struct {
+// patternsCommand runs load patterns against emulated engines.
+type patternsCommand struct {
 	Seeds   int    `default:"3" help:"Number of seeds; shares are means over them."`
-	Pattern string `help:"Only this pattern."`
+	Pattern string `help:"Run only this pattern."`
 }
 
 // Run implements kong's command.
-func (c *measurePatterns) Run() error {
+func (c *patternsCommand) Run() error {
 	policies := []struct {
 		name   string
 		policy pattern.NewPolicy
--- a/cmd/persimmonridge/operate.go
+++ b/cmd/persimmonridge/operate.go
@@ -24,12 +24,12 @@
 
 // Errors of the operators' commands.
 var (
-	findingsFound = namespace.NewType("findings")
-	notAnswered   = namespace.NewType("not-answered")
+	findingsFound    = namespace.NewType("findings")
+	entryUnreachable = namespace.NewType("not-answered")
 )
 
-// storeWithin bounds a command's dealings with the platform's store.
-const storeWithin = 20 * time.Second
+// commandTimeout limits the time that a command waits for the store or an entry.
+const commandTimeout = 20 * time.Second
 
 type checkCommand struct {
 	Inventory string `arg:"" type:"existingfile" help:"Inventory file."`
@@ -43,16 +43,16 @@
 		return err
 	}
 	inv, findings := inventory.Parse(raw)
-	count := list(c.Inventory, findings)
+	count := printFindings(c.Inventory, findings)
 	if c.Rules != "" && len(findings) == 0 {
 		rulesFile, err := os.ReadFile(c.Rules)
 		if err != nil {
 			return err
 		}
-		count += list(c.Rules, checkRules(rulesFile, inv))
+		count += printFindings(c.Rules, checkRules(rulesFile, inv))
 	}
 	if c.Rules != "" && len(findings) > 0 {
-		fmt.Println(c.Rules + ": not checked against an inventory with findings; correct the inventory first")
+		fmt.Println(c.Rules + ": not checked because the inventory has findings; correct the inventory first")
 	}
 	if count > 0 {
 		return findingsFound.New("%d findings; nothing was changed", count)
@@ -66,35 +66,35 @@
 	return findings
 }
 
-func list(file string, findings []schema.Finding) int {
+func printFindings(file string, findings []schema.Finding) int {
 	for _, f := range findings {
 		fmt.Println(file + ": " + f.String())
 	}
 	return len(findings)
 }
 
-// connection is where the platform's store is.
-type connection struct {
+// storeFlags holds the flag that locates the platform's store.
+type storeFlags struct {
 	Store []string `default:"http://127.0.0.1:8500" help:"Addresses of the platform's key-value service."`
 }
 
-func (c connection) submitter() (*changelog.Submitter, *store.Client) {
+func (c storeFlags) newSubmitter() (*changelog.Submitter, *store.Client) {
 	client := store.New(c.Store, time.Now, &net.Dialer{Timeout: time.Second}, store.ForOperator())
 	return changelog.NewSubmitter(client), client
 }
 
 type applyCommand struct {
-	connection
+	storeFlags
 	Inventory string `required:"" type:"existingfile" help:"Inventory file."`
 	Rules     string `required:"" type:"existingfile" help:"Rules file."`
-	Who       string `required:"" help:"Who makes the change."`
-	Why       string `required:"" help:"Why, in a sentence."`
-	Revision  int64  `default:"-1" help:"The revision the files were written against; the one in force if not given."`
+	Who       string `required:"" help:"Author of the change."`
+	Why       string `required:"" help:"Reason for the change, in one sentence."`
+	Revision  int64  `default:"-1" help:"Revision on which the files are based; the revision in force if not given."`
 }
 
 // Run implements kong's command.
 func (c *applyCommand) Run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	inventoryFile, err := os.ReadFile(c.Inventory)
 	if err != nil {
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	submitter, client := c.submitter()
+	submitter, client := c.newSubmitter()
 	defer func() { _ = client.Close() }()
 	current, revision, err := submitter.Read(ctx)
 	if err != nil {
@@ -115,7 +115,7 @@
 		return err
 	}
 	if !changed {
-		fmt.Printf("revision %d is in force and says the same; nothing to change\n", revision)
+		fmt.Printf("revision %d is in force with the same content; nothing to change\n", revision)
 		return nil
 	}
 	basedOn := revision
@@ -131,16 +131,16 @@
 }
 
 type auditCommand struct {
-	connection
-	Above uint64 `default:"0" help:"Only changes above this revision."`
-	JSON  bool   `name:"json" help:"One JSON record a line."`
+	storeFlags
+	Above uint64 `default:"0" help:"List only changes above this revision."`
+	JSON  bool   `name:"json" help:"Print one JSON record per line."`
 }
 
 // Run implements kong's command.
 func (c *auditCommand) Run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	submitter, client := c.submitter()
+	submitter, client := c.newSubmitter()
 	defer func() { _ = client.Close() }()
 	trail, err := submitter.Audit(ctx, c.Above)
 	if err != nil {
@@ -172,7 +172,7 @@
 
 // Run implements kong's command.
 func (c *statusCommand) Run(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, storeWithin)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.Entry+"/status", nil)
 	if err != nil {
@@ -180,7 +180,7 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return notAnswered.Wrap(err, "the entry at %s does not answer; name another with --entry", c.Entry)
+		return entryUnreachable.Wrap(err, "the entry at %s does not answer; name another with --entry", c.Entry)
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, err = io.Copy(os.Stdout, response.Body)
--- a/cmd/persimmonridge/roles.go
+++ b/cmd/persimmonridge/roles.go
@@ -14,8 +14,8 @@
 	"github.com/persimmonridge/persimmonridge/internal/role/entry"
 )
 
-// drainWithin bounds a planned stop; it is longer than the longest deadline.
-const drainWithin = 6 * time.Minute
+// drainTimeout limits a planned stop; it is longer than the longest request deadline.
+const drainTimeout = 6 * time.Minute
 
 type entryCommand struct {
 	Settings string `required:"" type:"existingfile" help:"Settings file of this process."`
@@ -39,9 +39,9 @@
 	if err != nil {
 		return err
 	}
-	e := entry.New(s, callers, peers, logTo(s.LogLevel()), time.Now)
+	e := entry.New(s, callers, peers, newLogger(s.LogLevel()), time.Now)
 	<-ctx.Done()
-	drainCtx, cancel := context.WithTimeout(context.Background(), drainWithin)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	return errors.Join(e.Drain(drainCtx), e.Close())
 }
@@ -64,9 +64,9 @@
 	if err != nil {
 		return err
 	}
-	// The start time in nanoseconds is higher than that of any earlier process
-	// on this VM's clock.
-	a := agent.New(s, listener, uint64(time.Now().UnixNano()), logTo(s.LogLevel()), time.Now)
+	// The incarnation is the start time in nanoseconds, which by this VM's clock
+	// is higher than that of any earlier process.
+	a := agent.New(s, listener, uint64(time.Now().UnixNano()), newLogger(s.LogLevel()), time.Now)
 	if s.StatusAddress() != "" {
 		stop, err := serveStatus(s.StatusAddress(), a.Handler())
 		if err != nil {
@@ -75,7 +75,7 @@
 		defer stop()
 	}
 	<-ctx.Done()
-	drainCtx, cancel := context.WithTimeout(context.Background(), drainWithin)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	return errors.Join(a.Drain(drainCtx), a.Close())
 }
@@ -90,6 +90,6 @@
 	return func() { _ = server.Close() }, nil
 }
 
-func logTo(level slog.Level) *slog.Logger {
+func newLogger(level slog.Level) *slog.Logger {
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
--- a/cmd/persimmonridge/standin.go
+++ b/cmd/persimmonridge/standin.go
@@ -21,13 +21,13 @@
 
 type standInCommand struct {
 	Store   standInStore   `cmd:"" help:"The platform's key-value service."`
-	VMList  standInVMList  `cmd:"" name:"vm-list" help:"The platform's lagging list of VMs."`
+	VMList  standInVMList  `cmd:"" name:"vm-list" help:"The platform's list of VMs, which lags behind."`
 	Engine  standInEngine  `cmd:"" help:"A streaming model engine."`
 	Service standInService `cmd:"" help:"A plain booking service."`
-	Relay   standInRelay   `cmd:"" help:"A relay whose connections can be made silent for good."`
+	Relay   standInRelay   `cmd:"" help:"A TCP relay whose open connections can be silenced permanently."`
 }
 
-// standInSettings are those of all stand-ins; each reads what it knows.
+// standInSettings holds the settings of all stand-ins; each one uses its own fields.
 type standInSettings struct {
 	Address      string      `json:"address"`
 	Seed         uint64      `json:"seed"`
@@ -62,7 +62,7 @@
 		return s, nil, settings.Invalid.Wrap(err, "write the stand-in's settings as JSON; see docs/OPERATING.md")
 	}
 	if s.Knee < 1 || s.PrefillRate < 1 || s.TokenGapMS <= 0 {
-		return s, nil, settings.Invalid.New("knee, prefill-rate and token-gap-ms must be above 0; correct them or leave them out")
+		return s, nil, settings.Invalid.New("knee, prefill-rate and token-gap-ms must be greater than 0; correct them or leave them out")
 	}
 	listener, err := net.Listen("tcp", s.Address)
 	return s, listener, err
@@ -78,9 +78,9 @@
 	if err != nil {
 		return err
 	}
-	stand := kv.New(s.Seed, time.Now)
-	stand.SetFaults(s.Faults)
-	return serveUntil(ctx, listener, stand.Handler())
+	server := kv.New(s.Seed, time.Now)
+	server.SetFaults(s.Faults)
+	return serveUntilDone(ctx, listener, server.Handler())
 }
 
 type standInVMList struct {
@@ -97,7 +97,7 @@
 	if err := list.Set(s.VMs); err != nil {
 		return err
 	}
-	return serveUntil(ctx, listener, list)
+	return serveUntilDone(ctx, listener, list)
 }
 
 type standInEngine struct {
@@ -110,13 +110,13 @@
 	if err != nil {
 		return err
 	}
-	stand := engine.New(listener, engine.Settings{
+	server := engine.New(listener, engine.Settings{
 		TokenGap: time.Duration(s.TokenGapMS * float64(time.Millisecond)), Knee: s.Knee, PrefillRate: s.PrefillRate,
 		CacheTokens: s.CacheTokens, LoadLag: time.Second, RestartAfter: time.Duration(s.RestartMS) * time.Millisecond, Seed: s.Seed,
 	}, nil)
-	stand.SetFaults(engine.Faults(s.EngineFaults))
+	server.SetFaults(engine.Faults(s.EngineFaults))
 	<-ctx.Done()
-	return stand.Close()
+	return server.Close()
 }
 
 type standInService struct {
@@ -129,17 +129,17 @@
 	if err != nil {
 		return err
 	}
-	stand := service.New(listener, service.Settings{Delay: time.Duration(s.DelayMS) * time.Millisecond}, service.NewLedger())
+	server := service.New(listener, service.Settings{Delay: time.Duration(s.DelayMS) * time.Millisecond}, service.NewLedger())
 	<-ctx.Done()
-	return stand.Close()
+	return server.Close()
 }
 
 type standInRelay struct {
 	Settings string `required:"" type:"existingfile" help:"Settings file, with address, target and control-address."`
 }
 
-// Run implements kong's command. PUT /silence at the control address makes all
-// present connections silent; new ones work.
+// Run implements kong's command. PUT /silence at the control address silences
+// all open connections; connections made later work normally.
 func (c *standInRelay) Run(ctx context.Context) error {
 	s, listener, err := readStandIn(c.Settings)
 	if err != nil {
@@ -149,16 +149,16 @@
 	if err != nil {
 		return err
 	}
-	stand := relay.New(listener, s.Target)
+	server := relay.New(listener, s.Target)
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /silence", func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(map[string]int{"silenced": stand.Silence()})
+		_ = json.NewEncoder(w).Encode(map[string]int{"silenced": server.Silence()})
 	})
-	err = serveUntil(ctx, control, mux)
-	return errors.Join(err, stand.Close())
+	err = serveUntilDone(ctx, control, mux)
+	return errors.Join(err, server.Close())
 }
 
-func serveUntil(ctx context.Context, listener net.Listener, handler http.Handler) error {
+func serveUntilDone(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute, ErrorLog: slog.NewLogLogger(slog.NewTextHandler(os.Stderr, nil), slog.LevelDebug)}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
--- a/cmd/persimmonridge/try.go
+++ b/cmd/persimmonridge/try.go
@@ -17,12 +17,13 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/report"
 )
 
-// brokenInvariant ends a trial whose proof failed.
+// brokenInvariant is the error of a trial that violated an invariant or ran an
+// action twice.
 var brokenInvariant = errorx.NewNamespace("try").NewType("broken-invariant")
 
 type tryCommand struct {
 	Seed      uint64        `default:"1" help:"Seed of the load and of the stand-ins' faults."`
-	Duration  time.Duration `default:"15s" help:"How long callers arrive."`
+	Duration  time.Duration `default:"15s" help:"Time during which callers arrive."`
 	JSON      bool          `name:"json" help:"Print one JSON object."`
 	Inventory string        `type:"existingfile" help:"Inventory to try instead of the Cairo example."`
 	Rules     string        `type:"existingfile" help:"Rules to try instead of the Cairo example."`
@@ -50,7 +51,7 @@
 		return err
 	}
 	callers := load.New(plan, shape.Network, site.URLs)
-	c.play(ctx, callers)
+	c.runLoad(ctx, callers)
 	r := report.New(c.Seed, c.Duration, tiers, callers.Samples())
 	r.DoubledActions, r.InvariantBreaches = site.Effects().Doubled(), invariants.Total()
 	r.PromptTokens = site.Prefill().Offered()
@@ -83,8 +84,8 @@
 	return slog.New(slog.NewTextHandler(io.Discard, nil))
 }
 
-// play runs the load and shows progress once a second.
-func (c *tryCommand) play(ctx context.Context, callers *load.Callers) {
+// runLoad runs the load and prints progress once per second.
+func (c *tryCommand) runLoad(ctx context.Context, callers *load.Callers) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -117,7 +118,7 @@
 		fmt.Fprintf(os.Stderr, "breach: %s, request %s: %s\n", breach.Name(), breach.RequestID(), breach.Detail())
 	}
 	if r.InvariantBreaches > 0 || r.DoubledActions > 0 {
-		return brokenInvariant.New("%d invariants broken, %d actions doubled; run again with --seed %d --verbose", r.InvariantBreaches, r.DoubledActions, r.Seed)
+		return brokenInvariant.New("%d invariant violations, %d actions run twice; run again with --seed %d --verbose", r.InvariantBreaches, r.DoubledActions, r.Seed)
 	}
 	return nil
 }
