--- a/internal/config/changelog/changelog.go
+++ b/internal/config/changelog/changelog.go
@@ -1,6 +1,6 @@
-// Package changelog is the configuration as a log of accepted changes. The
-// records are the audit trail. A change is accepted by one compare-and-swap
-// on the head; nodes follow the head and never apply a lower revision.
+// Package changelog keeps the configuration as a log of accepted changes, which
+// is also the audit trail. A change is accepted by one compare-and-swap of the
+// head; nodes follow the head and never apply a lower revision.
 package changelog
 
 import (
@@ -20,25 +20,26 @@
 
 // Errors of this package.
 var (
-	// Conflict: another change was accepted first.
+	// Conflict means that another change was accepted first.
 	Conflict = namespace.NewType("conflict")
-	// Rejected: the change breaks a rule and changed nothing.
+	// Rejected means that the change is invalid and was not applied.
 	Rejected = namespace.NewType("rejected")
-	// Gap: records are missing between two revisions.
+	// Gap means that records are missing between two revisions.
 	Gap = namespace.NewType("gap")
 )
 
 const (
-	// recentKept and recentBytes bound the records that the head carries, since
-	// every node reads it at every change. A snapshot is written whenever they
-	// are reached, so that a head and one snapshot are always the whole.
-	recentKept  = 16
-	recentBytes = 4 << 10
-	// recordBytes is about the length of a record besides its patch.
-	recordBytes = 200
+	// maxRecentRecords and maxRecentBytes limit the records in the head, because every
+	// node reads the head at every change. A snapshot is written whenever a
+	// limit is reached, so that the head and one snapshot are always enough to
+	// build the document.
+	maxRecentRecords = 16
+	maxRecentBytes   = 4 << 10
+	// recordOverheadBytes is the approximate size of a record without its patch.
+	recordOverheadBytes = 200
 )
 
-// Record is one accepted change. It never changes.
+// Record is one accepted change. It is immutable.
 type Record struct {
 	revision uint64
 	mark     string
@@ -59,19 +60,19 @@
 	Patch    json.RawMessage `json:"patch"`
 }
 
-// Revision returns the record's revision, from 1.
+// Revision returns the record's revision; the first is 1.
 func (r Record) Revision() uint64 { return r.revision }
 
-// Mark returns the record's unique mark.
+// Mark returns the random identifier of the record.
 func (r Record) Mark() string { return r.mark }
 
-// Who returns the operator or duty that made the change.
+// Who returns the operator or the duty of the system that made the change.
 func (r Record) Who() string { return r.who }
 
-// When returns when the change was made, by its maker's clock.
+// When returns the time of the change by the clock of the process that submitted it.
 func (r Record) When() time.Time { return r.when }
 
-// Why returns the reason given.
+// Why returns the reason given for the change.
 func (r Record) Why() string { return r.why }
 
 // Patch returns the change as an RFC 7396 merge patch.
@@ -92,15 +93,15 @@
 	return nil
 }
 
-// Snapshot is the whole document at a revision.
+// Snapshot is the complete document at one revision.
 type Snapshot struct {
 	Revision uint64          `json:"revision"`
 	Mark     string          `json:"mark"`
 	Document json.RawMessage `json:"document"`
 }
 
-// Log is what one node holds: the document at its revision and the records
-// since the last snapshot. It is safe for concurrent use.
+// Log is one node's copy of the configuration: the document in force and the
+// records since the last snapshot. It is safe for concurrent use.
 type Log struct {
 	invariants *invariant.Recorder
 
@@ -118,7 +119,7 @@
 	return &Log{invariants: invariants, changed: make(chan struct{}), base: Snapshot{Document: []byte("{}")}}
 }
 
-// Revision returns the revision in force; 0 means that none is known yet.
+// Revision returns the revision in force, or 0 if none is known yet.
 func (l *Log) Revision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,15 +133,15 @@
 	return l.doc, l.revision
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed when the next revision takes effect.
 func (l *Log) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// Since returns what a peer at the revision lacks: records, and a snapshot
-// first when the records do not reach back that far.
+// Since returns what a peer at the given revision lacks: the later records, and
+// also the snapshot if the records do not reach back that far.
 func (l *Log) Since(revision uint64) (*Snapshot, []Record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,8 +161,8 @@
 	return &base, append([]Record(nil), l.recent...)
 }
 
-// Apply takes records, and a snapshot they build on if there is one, from the
-// store or a peer. What is not newer is ignored; a gap is an error.
+// Apply applies records from the store or a peer, on top of snapshot if it is
+// not nil. It ignores revisions that are not newer; a gap is an error.
 func (l *Log) Apply(snapshot *Snapshot, records []Record) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,7 +175,7 @@
 			continue
 		}
 		var err error
-		if next, err = next.with(r); err != nil {
+		if next, err = next.withRecord(r); err != nil {
 			return err
 		}
 	}
@@ -184,13 +185,13 @@
 	return l.adopt(next)
 }
 
-// adopt puts a newer state in force; the caller holds the lock.
+// adopt puts a newer state in force. The caller must hold l.mu.
 func (l *Log) adopt(next state) error {
 	doc, findings := document.Parse(next.raw)
 	if len(findings) > 0 {
-		return rejection(findings)
+		return rejectedError(findings)
 	}
-	if !l.invariants.Check(next.revision > l.revision, invariant.RevisionNeverDown, "", "a lower revision was to be applied") {
+	if !l.invariants.Check(next.revision > l.revision, invariant.RevisionNeverDown, "", "attempt to apply a lower revision") {
 		return nil
 	}
 	l.revision, l.mark, l.doc, l.base, l.recent = next.revision, next.mark, doc, next.base, next.recent
@@ -199,7 +200,7 @@
 	return nil
 }
 
-// state is a document on its way through records.
+// state is a document and its history while records are applied to it.
 type state struct {
 	revision uint64
 	mark     string
@@ -208,36 +209,36 @@
 	recent   []Record
 }
 
-// with applies the next record. A record whose predecessor is another one
-// than ours belongs to a different history and is not applied.
-func (s state) with(r Record) (state, error) {
+// withRecord returns the state after the next record. A record whose predecessor has
+// another mark belongs to a different history and is rejected.
+func (s state) withRecord(r Record) (state, error) {
 	if r.revision != s.revision+1 || r.previous != s.mark {
 		return s, Gap.New("record %d does not follow revision %d; read the head and the snapshot", r.revision, s.revision)
 	}
 	raw, err := document.Patch(s.raw, r.patch)
 	if err != nil {
-		return s, Rejected.Wrap(err, "record %d is no merge patch; write the change as one", r.revision)
+		return s, Rejected.Wrap(err, "the patch of record %d is not a merge patch; write the change as an RFC 7396 merge patch", r.revision)
 	}
 	next := state{revision: r.revision, mark: r.mark, raw: raw, base: s.base}
 	next.recent = append(append(next.recent, s.recent...), r)
-	if next.full() {
+	if next.snapshotDue() {
 		next.base = Snapshot{Revision: r.revision, Mark: r.mark, Document: raw}
 		next.recent = nil
 	}
 	return next, nil
 }
 
-// full tells whether a snapshot is due. It depends on the records alone, so
-// that every node comes to the same base.
-func (s state) full() bool {
+// snapshotDue reports whether a snapshot is due. It depends only on the records, so
+// that every node computes the same base.
+func (s state) snapshotDue() bool {
 	size := 0
 	for _, r := range s.recent {
-		size += len(r.patch) + recordBytes
+		size += len(r.patch) + recordOverheadBytes
 	}
-	return len(s.recent) >= recentKept || size > recentBytes
+	return len(s.recent) >= maxRecentRecords || size > maxRecentBytes
 }
 
-func rejection(findings []schema.Finding) error {
+func rejectedError(findings []schema.Finding) error {
 	lines := make([]string, 0, len(findings))
 	for _, f := range findings {
 		lines = append(lines, f.String())
--- a/internal/config/changelog/changelog_test.go
+++ b/internal/config/changelog/changelog_test.go
@@ -24,29 +24,29 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/platform"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// world is the platform's stand-ins with clients of them.
-type world struct {
+// testEnv holds stand-ins of the platform and the network to reach them.
+type testEnv struct {
 	platform *platform.Platform
 	network  *network.Network
 }
 
-func newWorld(t *testing.T) *world {
+func newTestEnv(t *testing.T) *testEnv {
 	net := network.New()
-	p, err := platform.New(net, 1)
+	standIns, err := platform.New(net, 1)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = p.Close() })
-	return &world{platform: p, network: net}
+	t.Cleanup(func() { _ = standIns.Close() })
+	return &testEnv{platform: standIns, network: net}
 }
 
-func (w *world) client(t *testing.T) *store.Client {
-	c := store.New([]string{w.platform.StoreURL()}, time.Now, w.network, store.ForOperator())
-	t.Cleanup(func() { _ = c.Close() })
-	return c
+func (e *testEnv) client(t *testing.T) *store.Client {
+	client := store.New([]string{e.platform.StoreURL()}, time.Now, e.network, store.ForOperator())
+	t.Cleanup(func() { _ = client.Close() })
+	return client
 }
 
-func first(t *testing.T, s *changelog.Submitter) changelog.Record {
+func submitFirst(t *testing.T, s *changelog.Submitter) changelog.Record {
 	patch, err := json.Marshal(map[string]json.RawMessage{"inventory": examples.CairoInventory, "rules": examples.CairoRules})
 	require.NoError(t, err)
 	record, err := s.Submit(context.Background(), time.Now(), changelog.NewChange(0, "mariam", "first", patch))
@@ -54,22 +54,21 @@
 	return record
 }
 
-func workspace(name string) []byte {
+func workspacePatch(name string) []byte {
 	return []byte(fmt.Sprintf(`{"inventory":{"workspaces":{%q:{}}}}`, name))
 }
 
-// Two operators edit the rules at the same moment, and one of the edits is gone
-// without a word.
-// Both write against revision 1. One is accepted; the other is told who won, at
-// which revision, and the command to go on.
-func TestTheLoserOfARaceIsToldWhoWon(t *testing.T) {
+// Guards against lost updates when two operators edit at the same time. Both
+// changes are based on revision 1: one is accepted, and the error of the other
+// names the winner, its revision and the command to continue with.
+func TestConflictNamesWinningChange(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
-		s := changelog.NewSubmitter(w.client(t))
-		first(t, s)
-		_, err := s.Submit(context.Background(), time.Now(), changelog.NewChange(1, "mariam", "spring term", workspace("spring")))
+		env := newTestEnv(t)
+		s := changelog.NewSubmitter(env.client(t))
+		submitFirst(t, s)
+		_, err := s.Submit(context.Background(), time.Now(), changelog.NewChange(1, "mariam", "spring term", workspacePatch("spring")))
 		require.NoError(t, err)
-		_, err = s.Submit(context.Background(), time.Now(), changelog.NewChange(1, "omar", "autumn term", workspace("autumn")))
+		_, err = s.Submit(context.Background(), time.Now(), changelog.NewChange(1, "omar", "autumn term", workspacePatch("autumn")))
 		require.True(t, errorx.IsOfType(err, changelog.Conflict), "%v", err)
 		require.ErrorContains(t, err, "mariam")
 		require.ErrorContains(t, err, "revision 2")
@@ -77,23 +76,23 @@
 	})
 }
 
-// The store takes a change and loses the answer; the operator applies it again
-// and finds it twice in the audit, or not at all.
-// Half of all answers are lost while ten operators race for forty changes. Each
-// accepted change is in the audit once, in an unbroken chain.
-func TestLostAnswersAndRacesLeaveOneChain(t *testing.T) {
+// Guards against changes that are applied twice or lost when the store executes
+// a write but its answer is lost. Half of all answers are lost while ten operators
+// compete to submit forty changes; each accepted change is in the audit trail
+// once, in an unbroken chain.
+func TestLostAnswersAndRacesKeepOneChain(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
-		first(t, changelog.NewSubmitter(w.client(t)))
-		w.platform.Store().SetFaults(kv.Faults{LoseAnswers: 0.5})
+		env := newTestEnv(t)
+		submitFirst(t, changelog.NewSubmitter(env.client(t)))
+		env.platform.Store().SetFaults(kv.Faults{LoseAnswers: 0.5})
 		var mu sync.Mutex
 		accepted := make(map[string]bool)
 		var operators sync.WaitGroup
-		for o := range 10 {
-			s := changelog.NewSubmitter(w.client(t))
+		for operator := range 10 {
+			s := changelog.NewSubmitter(env.client(t))
 			operators.Go(func() {
 				for i := range 4 {
-					record := insist(t, s, o, i)
+					record := submitUntilAccepted(t, s, operator, i)
 					mu.Lock()
 					accepted[record.Mark()] = true
 					mu.Unlock()
@@ -101,8 +100,8 @@
 			})
 		}
 		operators.Wait()
-		w.platform.Store().SetFaults(kv.Faults{})
-		trail, err := changelog.NewSubmitter(w.client(t)).Audit(context.Background(), 1)
+		env.platform.Store().SetFaults(kv.Faults{})
+		trail, err := changelog.NewSubmitter(env.client(t)).Audit(context.Background(), 1)
 		require.NoError(t, err)
 		require.Len(t, trail, 40)
 		for i, record := range trail {
@@ -112,13 +111,14 @@
 	})
 }
 
-// insist submits until it wins, as an operator who runs the command again does.
-func insist(t *testing.T, s *changelog.Submitter, operator, number int) changelog.Record {
+// submitUntilAccepted submits a change until it is accepted, like an operator who runs the
+// command again after each conflict.
+func submitUntilAccepted(t *testing.T, s *changelog.Submitter, operator, number int) changelog.Record {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		_, revision, err := s.Read(ctx)
 		if err == nil {
-			change := changelog.NewChange(revision, fmt.Sprint("operator-", operator), "a change", workspace(fmt.Sprintf("w-%d-%d", operator, number)))
+			change := changelog.NewChange(revision, fmt.Sprint("operator-", operator), "a change", workspacePatch(fmt.Sprintf("w-%d-%d", operator, number)))
 			var record changelog.Record
 			record, err = s.Submit(ctx, time.Now(), change)
 			if err == nil {
@@ -132,29 +132,28 @@
 	}
 }
 
-// A rule is in force at one entry and not at another, or comes back after a
-// restart.
-// Thirty nodes follow the head through forty changes and an outage of the
-// store; none may ever fall back, and all must hold the last one 8 s later.
-func TestFollowersComeToTheSameRevisionWithin8s(t *testing.T) {
+// Guards against nodes that stay behind or return to an older revision. Thirty
+// nodes follow the head through forty changes and an outage of the store: no
+// revision ever decreases, and all nodes have the last one within 8 s.
+func TestFollowersConvergeWithin8s(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
-		s := changelog.NewSubmitter(w.client(t))
-		first(t, s)
-		invariants := invariant.New(quiet)
+		env := newTestEnv(t)
+		s := changelog.NewSubmitter(env.client(t))
+		submitFirst(t, s)
+		invariants := invariant.New(discardLogger)
 		var logs []*changelog.Log
 		for range 30 {
 			log := changelog.New(invariants)
-			follower := changelog.Follow(log, w.client(t), quiet)
+			follower := changelog.Follow(log, env.client(t), discardLogger)
 			t.Cleanup(func() { _ = follower.Close() })
 			logs = append(logs, log)
 		}
 		for i := range 40 {
-			insist(t, s, 0, i)
+			submitUntilAccepted(t, s, 0, i)
 			if i == 20 {
-				w.platform.Store().SetFaults(kv.Faults{Outage: true})
+				env.platform.Store().SetFaults(kv.Faults{Outage: true})
 				bubble.Pass(30 * time.Second)
-				w.platform.Store().SetFaults(kv.Faults{})
+				env.platform.Store().SetFaults(kv.Faults{})
 			}
 		}
 		bubble.Pass(8 * time.Second)
@@ -165,35 +164,35 @@
 	})
 }
 
-// A node that starts while the store is down takes the log from a peer; a peer
-// that is behind must not take it back.
-func TestLogFromAPeer(t *testing.T) {
+// A node that starts while the store is down gets the log from a peer. A peer
+// that is behind must not make it return to an older revision.
+func TestLogFromPeer(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
-		s := changelog.NewSubmitter(w.client(t))
-		ahead, behind := changelog.New(invariant.New(quiet)), changelog.New(invariant.New(quiet))
-		require.NoError(t, ahead.Apply(nil, []changelog.Record{first(t, s)}))
+		env := newTestEnv(t)
+		s := changelog.NewSubmitter(env.client(t))
+		ahead, behind := changelog.New(invariant.New(discardLogger)), changelog.New(invariant.New(discardLogger))
+		require.NoError(t, ahead.Apply(nil, []changelog.Record{submitFirst(t, s)}))
 		for i := range 20 {
-			require.NoError(t, ahead.Apply(nil, []changelog.Record{insist(t, s, 0, i)}))
+			require.NoError(t, ahead.Apply(nil, []changelog.Record{submitUntilAccepted(t, s, 0, i)}))
 		}
 		snapshot, records := ahead.Since(0)
-		require.NotNil(t, snapshot, "21 changes are more than the records kept")
+		require.NotNil(t, snapshot, "21 changes exceed the number of records kept")
 		require.NoError(t, behind.Apply(snapshot, records))
 		require.Equal(t, uint64(21), behind.Revision())
 		doc, _ := behind.Current()
-		_, known := doc.Inventory().WorkspaceSize("w-0-19")
-		require.True(t, known)
-		older, olderRecords := changelog.New(invariant.New(quiet)).Since(0)
-		require.NoError(t, behind.Apply(older, olderRecords))
+		_, exists := doc.Inventory().WorkspaceSize("w-0-19")
+		require.True(t, exists)
+		initial, initialRecords := changelog.New(invariant.New(discardLogger)).Since(0)
+		require.NoError(t, behind.Apply(initial, initialRecords))
 		require.Equal(t, uint64(21), behind.Revision())
 	})
 }
 
 func TestRejectedChangeNamesFieldAndRemedyAndChangesNothing(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		w := newWorld(t)
-		s := changelog.NewSubmitter(w.client(t))
-		first(t, s)
+		env := newTestEnv(t)
+		s := changelog.NewSubmitter(env.client(t))
+		submitFirst(t, s)
 		_, err := s.Submit(context.Background(), time.Now(), changelog.NewChange(1, "omar", "typo", []byte(`{"rules":{"actions":{"booking/refund":{"repeat":"never"}}}}`)))
 		require.True(t, errorx.IsOfType(err, changelog.Rejected))
 		require.ErrorContains(t, err, "/rules/actions/booking/refund: service booking has no action refund")
--- a/internal/config/changelog/follow.go
+++ b/internal/config/changelog/follow.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// watchWait is the length of one blocking read of the head.
-	watchWait = 50 * time.Second
-	// rewatchJitter spreads the nodes' next reads after a change.
+	// watchTimeout is the time-out of one blocking read of the head.
+	watchTimeout = 50 * time.Second
+	// rewatchJitter spreads the nodes' next reads after a change over time.
 	rewatchJitter = time.Second
-	// followMost is the longest pause after failures; it leaves most of the
-	// 8 s in which a change must be in force.
-	followMost = 4 * time.Second
+	// maxFollowPause is the longest pause after failed reads. It must stay well
+	// below the 8 s within which a change must be in force.
+	maxFollowPause = 4 * time.Second
 )
 
-// Follower keeps a log at the head of the store's.
+// Follower keeps a Log up to date with the head in the store.
 type Follower struct {
 	log    *Log
 	store  Store
@@ -31,7 +31,7 @@
 	done   chan struct{}
 }
 
-// Follow starts following; Close ends it.
+// Follow starts a follower; Close stops it.
 func Follow(log *Log, s Store, logger *slog.Logger) *Follower {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Follower{log: log, store: s, logger: logger, cancel: cancel, done: make(chan struct{})}
@@ -39,7 +39,7 @@
 	return f
 }
 
-// Close ends following and waits for it.
+// Close stops the follower and waits until it has ended.
 func (f *Follower) Close() error {
 	f.cancel()
 	<-f.done
@@ -54,9 +54,9 @@
 		delay := rand.N(rewatchJitter)
 		switch {
 		case err != nil && ctx.Err() == nil:
-			delay = store.Backoff(failures, followMost)
+			delay = store.Backoff(failures, maxFollowPause)
 			failures++
-			f.logger.Debug("config not read", "error", errorx.Cast(errorx.Decorate(err, "head")).Message())
+			f.logger.Debug("reading the configuration failed", "error", errorx.Cast(errorx.Decorate(err, "head")).Message())
 		case index == after:
 			failures, delay = 0, 0
 		default:
@@ -66,7 +66,7 @@
 	}
 }
 
-// step waits for a head other than the one at the index and applies it.
+// step waits until the head's index differs from after, and applies the head.
 func (f *Follower) step(ctx context.Context, after uint64) (uint64, error) {
 	entry, err := f.read(ctx, after)
 	if err != nil {
@@ -76,11 +76,11 @@
 		wait.For(ctx, rewatchJitter)
 		return after, nil
 	}
-	known, err := parseHead(entry)
+	headValue, err := parseHead(entry)
 	if err != nil {
 		return after, err
 	}
-	if err := f.apply(ctx, known); err != nil {
+	if err := f.apply(ctx, headValue); err != nil {
 		return after, err
 	}
 	return entry.Index(), nil
@@ -90,26 +90,26 @@
 	if after == 0 {
 		return f.store.Get(ctx, store.Watches, headKey)
 	}
-	return f.store.Watch(ctx, headKey, after, watchWait)
+	return f.store.Watch(ctx, headKey, after, watchTimeout)
 }
 
-// apply needs the snapshot only when the head's records do not reach back to
-// what the log holds.
-func (f *Follower) apply(ctx context.Context, known head) error {
+// apply applies the head's records. It reads the snapshot only if they do not
+// reach back to the log's revision.
+func (f *Follower) apply(ctx context.Context, headValue head) error {
 	before := f.log.Revision()
-	if known.Revision <= before {
+	if headValue.Revision <= before {
 		return nil
 	}
-	err := f.log.Apply(nil, known.Recent)
-	if errorx.IsOfType(err, Gap) || err == nil && f.log.Revision() < known.Revision {
+	err := f.log.Apply(nil, headValue.Recent)
+	if errorx.IsOfType(err, Gap) || err == nil && f.log.Revision() < headValue.Revision {
 		var snapshot Snapshot
-		if snapshot, err = loadSnapshot(ctx, f.store, known); err != nil {
+		if snapshot, err = loadSnapshot(ctx, f.store, headValue); err != nil {
 			return err
 		}
-		err = f.log.Apply(&snapshot, known.Recent)
+		err = f.log.Apply(&snapshot, headValue.Recent)
 	}
 	if err == nil {
-		f.logger.Info("config in force", "revision", f.log.Revision(), "before", before)
+		f.logger.Info("new configuration revision in force", "revision", f.log.Revision(), "before", before)
 	}
 	return err
 }
