--- a/internal/config/document/document.go
+++ b/internal/config/document/document.go
@@ -1,5 +1,5 @@
-// Package document is the whole configuration at one revision: inventory,
-// rules, and the state of version moves that the system itself records.
+// Package document is the complete configuration at one revision: the inventory,
+// the rules, and the state of version moves, which the system itself records.
 package document
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/persimmonridge/persimmonridge/schema"
 )
 
-// Verdict is where a version move stands.
+// Verdict is the status of a version move.
 type Verdict string
 
-// The verdicts; Completed and TakenBack are final.
+// Verdicts of a move; Completed and TakenBack are final.
 const (
 	Moving    Verdict = "moving"
 	Completed Verdict = "completed"
 	TakenBack Verdict = "taken-back"
 )
 
-// MoveState is what the system recorded of one move.
+// MoveState is the recorded state of one move.
 type MoveState struct {
 	stage   int
 	share   float64
@@ -39,24 +39,24 @@
 	Why     string    `json:"why"`
 }
 
-// NewMoveState returns a state; why is one sentence for operators.
+// NewMoveState returns the state of a move; why is one sentence for operators.
 func NewMoveState(stage int, share float64, verdict Verdict, since time.Time, why string) MoveState {
 	return MoveState{stage: stage, share: share, verdict: verdict, since: since, why: why}
 }
 
-// Stage returns the number of the stage, from 0.
+// Stage returns the index of the stage; the first is 0.
 func (m MoveState) Stage() int { return m.stage }
 
-// Share returns the share of traffic that the new version may have.
+// Share returns the fraction of traffic that goes to the new version.
 func (m MoveState) Share() float64 { return m.share }
 
-// Verdict returns where the move stands.
+// Verdict returns the status of the move.
 func (m MoveState) Verdict() Verdict { return m.verdict }
 
 // Since returns when the state was recorded.
 func (m MoveState) Since() time.Time { return m.since }
 
-// Why returns the evidence in one sentence.
+// Why returns the reason for the state in one sentence.
 func (m MoveState) Why() string { return m.why }
 
 // MarshalJSON implements json.Marshaler.
@@ -74,13 +74,13 @@
 	return nil
 }
 
-type wire struct {
+type documentJSON struct {
 	Inventory json.RawMessage      `json:"inventory"`
 	Rules     json.RawMessage      `json:"rules"`
 	Moves     map[string]MoveState `json:"moves,omitempty"`
 }
 
-// Document is one accepted configuration. It never changes.
+// Document is one valid configuration. It is immutable.
 type Document struct {
 	raw       []byte
 	inventory inventory.Inventory
@@ -88,45 +88,45 @@
 	moves     map[string]MoveState
 }
 
-// Build joins an inventory and rules, as operators write them, to a document.
+// Build combines an inventory file and a rules file into a document.
 func Build(inventoryFile, rulesFile []byte) (Document, []schema.Finding) {
-	raw, err := json.Marshal(wire{Inventory: inventoryFile, Rules: rulesFile})
+	raw, err := json.Marshal(documentJSON{Inventory: inventoryFile, Rules: rulesFile})
 	if err != nil {
 		return Document{}, []schema.Finding{schema.NewFinding("/", err.Error(), "correct the JSON syntax")}
 	}
 	return Parse(raw)
 }
 
-// Parse checks a whole document and returns it or every finding.
+// Parse validates a document and returns it, or all findings.
 func Parse(raw []byte) (Document, []schema.Finding) {
-	var doc wire
+	var doc documentJSON
 	if err := json.Unmarshal(raw, &doc); err != nil {
 		return Document{}, []schema.Finding{schema.NewFinding("/", err.Error(), "correct the JSON syntax")}
 	}
-	inv, findings := inventory.Parse(orEmpty(doc.Inventory))
+	inv, findings := inventory.Parse(orEmptyObject(doc.Inventory))
 	if len(findings) > 0 {
-		return Document{}, under("/inventory", findings)
+		return Document{}, withPathPrefix("/inventory", findings)
 	}
-	parsed, findings := rules.Parse(orEmpty(doc.Rules), inv)
+	parsed, findings := rules.Parse(orEmptyObject(doc.Rules), inv)
 	if len(findings) > 0 {
-		return Document{}, under("/rules", findings)
+		return Document{}, withPathPrefix("/rules", findings)
 	}
 	return Document{raw: raw, inventory: inv, rules: parsed, moves: doc.Moves}, nil
 }
 
-func orEmpty(raw json.RawMessage) []byte {
+func orEmptyObject(raw json.RawMessage) []byte {
 	if len(raw) == 0 {
 		return []byte("{}")
 	}
 	return raw
 }
 
-func under(prefix string, findings []schema.Finding) []schema.Finding {
-	moved := make([]schema.Finding, 0, len(findings))
+func withPathPrefix(prefix string, findings []schema.Finding) []schema.Finding {
+	prefixed := make([]schema.Finding, 0, len(findings))
 	for _, f := range findings {
-		moved = append(moved, schema.NewFinding(prefix+f.Path(), f.Rule(), f.Remedy()))
+		prefixed = append(prefixed, schema.NewFinding(prefix+f.Path(), f.Rule(), f.Remedy()))
 	}
-	return moved
+	return prefixed
 }
 
 // Raw returns the document as JSON.
@@ -138,46 +138,46 @@
 // Rules returns the rules.
 func (d Document) Rules() rules.Rules { return d.rules }
 
-// Move is a wished move with what was recorded of it.
+// Move is a move that the rules request, with its recorded state.
 type Move struct {
 	rules.Move
-	state MoveState
-	known bool
+	state    MoveState
+	recorded bool
 }
 
-// State returns what was recorded, if anything was.
-func (m Move) State() (state MoveState, known bool) { return m.state, m.known }
+// State returns the recorded state, and whether there is one.
+func (m Move) State() (state MoveState, known bool) { return m.state, m.recorded }
 
-// Open tells whether the move has not ended.
-func (m Move) Open() bool { return !m.known || m.state.Verdict() == Moving }
+// Open reports whether the move has not ended.
+func (m Move) Open() bool { return !m.recorded || m.state.Verdict() == Moving }
 
-// UnderWay tells whether the move has begun and not ended.
-func (m Move) UnderWay() bool { return m.known && m.state.Verdict() == Moving }
+// UnderWay reports whether the move has begun and not ended.
+func (m Move) UnderWay() bool { return m.recorded && m.state.Verdict() == Moving }
 
-// Moves returns the wished moves with what was recorded of them, in order of
-// name.
+// Moves returns the moves that the rules request, with their recorded states, in
+// order of name.
 func (d Document) Moves() []Move {
 	var out []Move
-	for _, wish := range d.rules.Moves() {
-		state, known := d.moves[wish.Name()]
-		out = append(out, Move{Move: wish, state: state, known: known})
+	for _, requested := range d.rules.Moves() {
+		state, recorded := d.moves[requested.Name()]
+		out = append(out, Move{Move: requested, state: state, recorded: recorded})
 	}
 	return out
 }
 
-// Edit returns the merge patch that makes the operators' files the document,
-// and whether there is anything to change. What the system recorded of moves
-// is left as it is.
+// Edit returns the merge patch that replaces the inventory and rules of current
+// by the operators' files, and whether they differ. The recorded states of moves
+// are not changed.
 func Edit(current Document, inventoryFile, rulesFile []byte) (patch []byte, changed bool, err error) {
-	wanted, err := json.Marshal(wire{Inventory: inventoryFile, Rules: rulesFile})
+	wanted, err := json.Marshal(documentJSON{Inventory: inventoryFile, Rules: rulesFile})
 	if err != nil || len(current.raw) == 0 {
 		return wanted, true, err
 	}
-	var held wire
-	if err := json.Unmarshal(current.raw, &held); err != nil {
+	var currentFiles documentJSON
+	if err := json.Unmarshal(current.raw, &currentFiles); err != nil {
 		return nil, false, err
 	}
-	base, err := json.Marshal(wire{Inventory: held.Inventory, Rules: held.Rules})
+	base, err := json.Marshal(documentJSON{Inventory: currentFiles.Inventory, Rules: currentFiles.Rules})
 	if err != nil {
 		return nil, false, err
 	}
@@ -218,7 +218,7 @@
 }
 
 // Diff returns the merge patch that turns one JSON value into another, and
-// whether there is any difference.
+// whether they differ.
 func Diff(from, to []byte) ([]byte, bool, error) {
 	var old, wanted any
 	if err := json.Unmarshal(from, &old); err != nil {
@@ -247,11 +247,11 @@
 		}
 	}
 	for name, value := range after {
-		known, had := before[name]
-		if had && reflect.DeepEqual(known, value) {
+		previous, exists := before[name]
+		if exists && reflect.DeepEqual(previous, value) {
 			continue
 		}
-		patch[name] = diff(known, value)
+		patch[name] = diff(previous, value)
 	}
 	return patch
 }
--- a/internal/config/findingstest/findingstest.go
+++ b/internal/config/findingstest/findingstest.go
@@ -1,4 +1,4 @@
-// Package findingstest checks documents against tables of their findings.
+// Package findingstest runs table tests of the findings that a document yields.
 package findingstest
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/persimmonridge/persimmonridge/schema"
 )
 
-// Run reads cases from a file. Each changes the base by a merge patch and must
-// yield exactly its findings, in order, each with a remedy.
+// Run runs the test cases in a file. Each one applies a merge patch to base; check
+// must then return exactly the findings listed, in order, each with a remedy.
 func Run(t *testing.T, path string, base []byte, check func(raw []byte) []schema.Finding) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
