--- a/internal/config/inventory/inventory.go
+++ b/internal/config/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory reads what operators declare of their site: failure
-// domains, services with their versions and actions, and workspaces.
+// Package inventory parses the operators' description of a site: its failure
+// domains, its services with their versions and actions, and its workspaces.
 package inventory
 
 import (
@@ -9,19 +9,19 @@
 	"github.com/persimmonridge/persimmonridge/schema"
 )
 
-// Kind tells how a service's upstreams are spoken to.
+// Kind is the protocol by which a service's upstreams are called.
 type Kind string
 
-// The kinds of service.
+// Kinds of services.
 const (
 	Model Kind = "model"
 	Plain Kind = "plain"
 )
 
-// Size is how much of the site's traffic a workspace brings.
+// Size classifies a workspace by its part of the site's traffic.
 type Size string
 
-// The sizes of a workspace.
+// Sizes of workspaces.
 const (
 	Small Size = "small"
 	Large Size = "large"
@@ -53,7 +53,7 @@
 	Size Size `json:"size"`
 }
 
-// Inventory is one accepted declaration. It never changes.
+// Inventory is one valid inventory. It is immutable.
 type Inventory struct {
 	doc      document
 	services map[string]Service
@@ -73,8 +73,7 @@
 	doc     actionDocument
 }
 
-// Parse checks raw against the schema and returns the inventory, or every
-// finding.
+// Parse validates raw and returns the inventory, or all findings.
 func Parse(raw []byte) (Inventory, []schema.Finding) {
 	if findings := schema.Check(schema.Inventory, raw); len(findings) > 0 {
 		return Inventory{}, findings
@@ -102,8 +101,8 @@
 	return s
 }
 
-// checkPaths finds actions of a plain service that no path leads to, and two
-// actions that one method and path would lead to.
+// checkPaths finds actions of a plain service without a method or path, and
+// actions that have the same method and path.
 func checkPaths(s Service) []schema.Finding {
 	if s.doc.Kind != Plain {
 		return nil
@@ -111,14 +110,14 @@
 	var findings []schema.Finding
 	seen := make(map[string]string)
 	for _, a := range s.actions {
-		at := "/services/" + s.name + "/actions/" + a.name
+		path := "/services/" + s.name + "/actions/" + a.name
 		if a.doc.Path == "" || a.doc.Method == "" {
-			findings = append(findings, schema.NewFinding(at, "an action of a plain service needs method and path", "add both"))
+			findings = append(findings, schema.NewFinding(path, "an action of a plain service needs method and path", "add both"))
 			continue
 		}
 		route := a.doc.Method + " " + a.doc.Path
 		if other, ok := seen[route]; ok {
-			findings = append(findings, schema.NewFinding(at, "same method and path as action "+other, "give one of them another path"))
+			findings = append(findings, schema.NewFinding(path, "same method and path as action "+other, "give one of them another path"))
 		}
 		seen[route] = a.name
 	}
@@ -158,10 +157,10 @@
 // Name returns the service's name.
 func (s Service) Name() string { return s.name }
 
-// Kind returns how its upstreams are spoken to.
+// Kind returns the protocol by which its upstreams are called.
 func (s Service) Kind() Kind { return s.doc.Kind }
 
-// HasVersion tells whether the version is declared.
+// HasVersion reports whether the version is declared.
 func (s Service) HasVersion(version string) bool {
 	_, ok := s.doc.Versions[version]
 	return ok
@@ -186,7 +185,7 @@
 // Name returns the action's name.
 func (a Action) Name() string { return a.name }
 
-// Route returns the service and action as the rules name them.
+// Route returns "service/action", as the rules name the action.
 func (a Action) Route() string { return a.service + "/" + a.name }
 
 // Method returns the HTTP method of a plain service's action.
--- a/internal/config/inventory/inventory_test.go
+++ b/internal/config/inventory/inventory_test.go
@@ -18,11 +18,11 @@
 	})
 }
 
-// Operators were told the wrong place in their file, in one check of six: the
-// schema library reported where it was when the error was read, not when it was
-// found, and it visits properties in the random order of a map. So the same
-// file is checked many times.
-func TestPlacesOfNamesDoNotDependOnOrder(t *testing.T) {
+// Guards against findings with a wrong path: the schema library reports the
+// location at which it is when the error is read, not when it was found, and it
+// visits properties in the random order of a map. That gave a wrong path in one
+// check of six, so the same file is checked many times.
+func TestPathsOfNameFindingsDoNotDependOnOrder(t *testing.T) {
 	raw := []byte(`{"site": "cairo",
 		"failure-domains": {"cairo-a": {}},
 		"workspaces": {"front desk": {"size": "small"}},
@@ -34,11 +34,11 @@
 	}
 	for range 200 {
 		_, findings := inventory.Parse(raw)
-		var places []string
+		var paths []string
 		for _, f := range findings {
-			places = append(places, f.Path())
+			paths = append(paths, f.Path())
 		}
-		require.Equal(t, want, places)
+		require.Equal(t, want, paths)
 	}
 }
 
