--- a/internal/config/rules/rules.go
+++ b/internal/config/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules reads the few rules that operators add to their inventory:
-// which work matters most, which actions may never repeat, and by when
+// Package rules parses the rules that operators add to their inventory: the
+// priority tiers, the actions that must not run twice, and the deadlines by which
 // traffic must move to a new version.
 package rules
 
@@ -13,25 +13,27 @@
 	"github.com/persimmonridge/persimmonridge/schema"
 )
 
-// Defaults of rules that the operators left out.
+// Defaults of omitted rules.
 const (
 	DefaultDeadline    = 60 * time.Second
 	DefaultRetryBudget = 0.1
 )
 
-// Repeat tells whether an action that was lost may run again.
+// Repeat states whether an action may run again if its outcome is unknown.
 type Repeat string
 
-// The two answers. Never is the default: silence must not double a payment.
+// Values of Repeat. Never is the default, so that for example a payment without
+// a rule is not made twice when its answer is lost.
 const (
 	Never Repeat = "never"
 	Safe  Repeat = "safe"
 )
 
-// IfLate tells what becomes of a move that cannot meet its deadline.
+// IfLate states what happens to a move that does not meet its deadline.
 type IfLate string
 
-// What becomes of a late move.
+// Values of IfLate: return the traffic to the old version, or keep the stage
+// reached until there is good evidence for the next one.
 const (
 	TakeBack IfLate = "take-back"
 	Hold     IfLate = "hold"
@@ -62,7 +64,7 @@
 	IfLate  IfLate    `json:"if-late"`
 }
 
-// Rules is one accepted set of rules. It never changes.
+// Rules is one valid set of rules. It is immutable.
 type Rules struct {
 	doc     document
 	actions map[string]Action
@@ -77,14 +79,14 @@
 	keyRequired bool
 }
 
-// Move is the wish that a service's traffic moves to another version.
+// Move is a request to move a service's traffic to another version.
 type Move struct {
 	name string
 	doc  moveDocument
 }
 
-// Parse checks raw against the schema and against the inventory, and returns
-// the rules or every finding.
+// Parse validates raw against the schema and the inventory, and returns the
+// rules, or all findings.
 func Parse(raw []byte, inv inventory.Inventory) (Rules, []schema.Finding) {
 	if findings := schema.Check(schema.Rules, raw); len(findings) > 0 {
 		return Rules{}, findings
@@ -107,25 +109,25 @@
 		findings = append(findings, schema.NewFinding("/default-tier", "tier "+r.doc.DefaultTier+" is not in tiers", "name one of "+strings.Join(r.doc.Tiers, ", ")))
 	}
 	for route, doc := range r.doc.Actions {
-		at := "/actions/" + route
+		path := "/actions/" + route
 		serviceName, actionName, _ := strings.Cut(route, "/")
 		service, ok := inv.Service(serviceName)
 		if !ok {
-			findings = append(findings, schema.NewFinding(at, "service "+serviceName+" is not in the inventory", "add it there, or name one of "+strings.Join(inv.ServiceNames(), ", ")))
+			findings = append(findings, schema.NewFinding(path, "service "+serviceName+" is not in the inventory", "add it there, or name one of "+strings.Join(inv.ServiceNames(), ", ")))
 		} else if _, ok := service.Action(actionName); !ok {
-			findings = append(findings, schema.NewFinding(at, "service "+serviceName+" has no action "+actionName, "add the action to the inventory or correct the name"))
+			findings = append(findings, schema.NewFinding(path, "service "+serviceName+" has no action "+actionName, "add the action to the inventory or correct the name"))
 		}
 		action := Action{tier: r.defaultTier(), deadline: DefaultDeadline, repeat: Never, keyRequired: doc.KeyRequired}
 		if doc.Tier != "" {
 			action.tier = r.tierIndex(doc.Tier)
 		}
 		if action.tier < 0 {
-			findings = append(findings, schema.NewFinding(at+"/tier", "tier "+doc.Tier+" is not in tiers", "name one of "+strings.Join(r.doc.Tiers, ", ")))
+			findings = append(findings, schema.NewFinding(path+"/tier", "tier "+doc.Tier+" is not in tiers", "name one of "+strings.Join(r.doc.Tiers, ", ")))
 		}
 		if doc.Deadline != "" {
 			deadline, err := time.ParseDuration(doc.Deadline)
 			if err != nil || deadline <= 0 {
-				findings = append(findings, schema.NewFinding(at+"/deadline", "deadline "+doc.Deadline+" is not a positive duration", `write one such as "20s"`))
+				findings = append(findings, schema.NewFinding(path+"/deadline", "deadline "+doc.Deadline+" is not a positive duration", `write one such as "20s"`))
 			}
 			action.deadline = deadline
 		}
@@ -133,7 +135,7 @@
 			action.repeat = doc.Repeat
 		}
 		if action.repeat == Safe && action.keyRequired {
-			findings = append(findings, schema.NewFinding(at+"/key-required", "an action that is safe to repeat needs no key", "drop key-required or set repeat to never"))
+			findings = append(findings, schema.NewFinding(path+"/key-required", "an action that is safe to repeat needs no key", "drop key-required or set repeat to never"))
 		}
 		r.actions[route] = action
 	}
@@ -157,39 +159,41 @@
 
 func (r *Rules) buildMoves(inv inventory.Inventory) []schema.Finding {
 	var findings []schema.Finding
-	active := make(map[string]string)
-	for _, name := range sortedMoves(r.doc.Moves) {
+	moveOfService := make(map[string]string)
+	for _, name := range sortedMoveNames(r.doc.Moves) {
 		doc := r.doc.Moves[name]
-		at := "/moves/" + name
+		path := "/moves/" + name
 		if doc.IfLate == "" {
 			doc.IfLate = TakeBack
 		}
 		r.moves = append(r.moves, Move{name: name, doc: doc})
 		service, ok := inv.Service(doc.Service)
 		if !ok {
-			findings = append(findings, schema.NewFinding(at+"/service", "service "+doc.Service+" is not in the inventory", "add it there or correct the name"))
+			findings = append(findings, schema.NewFinding(path+"/service", "service "+doc.Service+" is not in the inventory", "add it there or correct the name"))
 			continue
 		}
 		if !service.HasVersion(doc.From) {
-			findings = append(findings, schema.NewFinding(at+"/from", "service "+doc.Service+" has no version "+doc.From, "name one of "+strings.Join(service.Versions(), ", ")))
+			findings = append(findings, schema.NewFinding(path+"/from", "service "+doc.Service+" has no version "+doc.From, "name one of "+strings.Join(service.Versions(), ", ")))
 		}
 		if !service.HasVersion(doc.To) {
-			findings = append(findings, schema.NewFinding(at+"/to", "service "+doc.Service+" has no version "+doc.To, "name one of "+strings.Join(service.Versions(), ", ")))
+			findings = append(findings, schema.NewFinding(path+"/to", "service "+doc.Service+" has no version "+doc.To, "name one of "+strings.Join(service.Versions(), ", ")))
 		}
 		if doc.From == doc.To {
-			findings = append(findings, schema.NewFinding(at+"/to", "from and to are the same version", "name the version to move to"))
+			findings = append(findings, schema.NewFinding(path+"/to", "from and to are the same version", "name the version to move to"))
 		}
 		if !doc.By.After(doc.Start) {
-			findings = append(findings, schema.NewFinding(at+"/by", "by is not after start", "leave the move time to gather evidence"))
+			findings = append(findings, schema.NewFinding(path+"/by", "by is not after start", "set a later deadline, so that the move has time to gather evidence"))
 		}
-		if other, ok := active[doc.Service]; ok {
-			findings = append(findings, schema.NewFinding(at, "service "+doc.Service+" has another move, "+other, "finish or remove one of them"))
+		if other, ok := moveOfService[doc.Service]; ok {
+			findings = append(findings, schema.NewFinding(path, "service "+doc.Service+" has another move, "+other, "complete or remove one of them"))
 		}
-		active[doc.Service] = name
+		moveOfService[doc.Service] = name
 	}
 	return findings
 }
 
+// defaultTier returns the index of the default tier; without a valid one it is
+// the lowest tier.
 func (r *Rules) defaultTier() int {
 	if index := r.tierIndex(r.doc.DefaultTier); index >= 0 {
 		return index
@@ -215,8 +219,8 @@
 	return index, index >= 0
 }
 
-// Action returns the rule for a route, or the defaults: lowest tier, a
-// minute, never repeated.
+// Action returns the rule for a route. Without one it returns the defaults: the
+// default tier, DefaultDeadline and Never.
 func (r Rules) Action(route string) Action {
 	if action, ok := r.actions[route]; ok {
 		return action
@@ -224,7 +228,7 @@
 	return Action{tier: r.defaultTier(), deadline: DefaultDeadline, repeat: Never}
 }
 
-// RetryBudget returns the share of requests that may be run again.
+// RetryBudget returns the fraction of requests that may be retried.
 func (r Rules) RetryBudget() float64 {
 	if r.doc.RetryBudget == nil {
 		return DefaultRetryBudget
@@ -232,32 +236,33 @@
 	return *r.doc.RetryBudget
 }
 
-// Current returns the version that serves a service while no move says
-// otherwise, if the rules name one.
+// Current returns the version that serves a service outside of moves, if the
+// rules name one.
 func (r Rules) Current(service string) (string, bool) {
 	version, ok := r.doc.Current[service]
 	return version, ok
 }
 
-// Moves returns the wished moves in order of name.
+// Moves returns the requested moves in order of name.
 func (r Rules) Moves() []Move { return r.moves }
 
 // Tier returns the action's tier, 0 being the highest.
 func (a Action) Tier() int { return a.tier }
 
-// Deadline returns how long after its arrival an answer is still in time.
+// Deadline returns the time after the arrival of a request by which it must be
+// answered.
 func (a Action) Deadline() time.Duration { return a.deadline }
 
-// RepeatSafe tells whether a lost run may be run again.
+// RepeatSafe reports whether the action may run again if its outcome is unknown.
 func (a Action) RepeatSafe() bool { return a.repeat == Safe }
 
-// KeyRequired tells whether callers must send an Idempotency-Key.
+// KeyRequired reports whether callers must send an Idempotency-Key.
 func (a Action) KeyRequired() bool { return a.keyRequired }
 
 // Name returns the move's name.
 func (m Move) Name() string { return m.name }
 
-// Service returns the service that moves.
+// Service returns the service whose traffic moves.
 func (m Move) Service() string { return m.doc.Service }
 
 // From returns the old version.
@@ -266,16 +271,16 @@
 // To returns the new version.
 func (m Move) To() string { return m.doc.To }
 
-// Start returns when the move may begin.
+// Start returns the earliest time at which the move may begin.
 func (m Move) Start() time.Time { return m.doc.Start }
 
-// By returns when the move must be complete.
+// By returns the time by which the move must be complete.
 func (m Move) By() time.Time { return m.doc.By }
 
-// IfLate returns what becomes of the move when it cannot meet its deadline.
+// IfLate states what happens to the move if it does not meet its deadline.
 func (m Move) IfLate() IfLate { return m.doc.IfLate }
 
-func sortedMoves(moves map[string]moveDocument) []string {
+func sortedMoveNames(moves map[string]moveDocument) []string {
 	names := make([]string, 0, len(moves))
 	for name := range moves {
 		names = append(names, name)
--- a/internal/config/rules/rules_test.go
+++ b/internal/config/rules/rules_test.go
@@ -22,19 +22,19 @@
 	})
 }
 
-func TestBothSitesExamplesAreWithoutFindings(t *testing.T) {
+func TestExamplesHaveNoFindings(t *testing.T) {
 	for _, files := range [][2][]byte{{examples.CairoInventory, examples.CairoRules}, {examples.SwedenInventory, examples.SwedenRules}} {
 		_, findings := document.Build(files[0], files[1])
 		require.Empty(t, findings)
 	}
 }
 
-func TestDefaultsAreCautious(t *testing.T) {
+func TestDefaultsOfActionWithoutRule(t *testing.T) {
 	inv, _ := inventory.Parse(examples.CairoInventory)
 	r, findings := rules.Parse([]byte(`{"tiers":["a","b"],"actions":{}}`), inv)
 	require.Empty(t, findings)
 	action := r.Action("booking/payment")
-	require.False(t, action.RepeatSafe(), "what no rule names is never repeated")
+	require.False(t, action.RepeatSafe(), "an action without a rule must not be repeated")
 	require.Equal(t, 1, action.Tier())
 	require.Equal(t, rules.DefaultDeadline, action.Deadline())
 }
