--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads what one process is told at its start: its own
-// addresses and failure domain, and where the platform's services are.
+// Package settings parses the settings file of a process: its own addresses and
+// failure domain, and the addresses of the platform's services.
 package settings
 
 import (
@@ -17,18 +17,19 @@
 
 var namespace = errorx.NewNamespace("settings")
 
-// Invalid means that the settings file cannot be used; nothing was started.
+// Invalid means that the settings file cannot be used; the process does not start.
 var Invalid = namespace.NewType("invalid")
 
-// Defaults of settings that may be left out.
+// Defaults of omitted settings.
 const (
-	// DefaultClaimPartitions suits a few entries.
+	// DefaultClaimPartitions is enough for a few entries.
 	DefaultClaimPartitions = 8
-	// DefaultLimit is where an upstream's limit of running requests starts.
+	// DefaultLimit is the initial concurrency limit of an upstream.
 	DefaultLimit = 4
-	// DefaultMaxLimit is the highest that limit may grow.
+	// DefaultMaxLimit is the maximum of that limit.
 	DefaultMaxLimit = 64
-	// DefaultTokenGap and DefaultFirstToken are the users' p95 figures.
+	// DefaultTokenGap and DefaultFirstToken are the p95 targets that users
+	// specified.
 	DefaultTokenGap   = 74 * time.Millisecond
 	DefaultFirstToken = 340 * time.Millisecond
 )
@@ -48,8 +49,8 @@
 	LogLevel        string   `json:"log-level"`
 }
 
-// ParseEntry checks raw and returns the settings or one error that names
-// every finding.
+// ParseEntry validates raw and returns the settings, or one error with all
+// findings.
 func ParseEntry(raw []byte) (Entry, error) {
 	doc := entryDocument{ClaimPartitions: DefaultClaimPartitions}
 	if err := parse(schema.EntrySettings, raw, &doc); err != nil {
@@ -61,7 +62,7 @@
 // Node returns the process's name.
 func (e Entry) Node() string { return e.doc.Node }
 
-// FailureDomain returns where the process runs.
+// FailureDomain returns the failure domain in which the process runs.
 func (e Entry) FailureDomain() string { return e.doc.FailureDomain }
 
 // CallerAddress returns the address that callers' requests arrive at.
@@ -70,10 +71,10 @@
 // PeerAddress returns the address that other entries link to.
 func (e Entry) PeerAddress() string { return e.doc.PeerAddress }
 
-// StoreAddresses returns the platform's key-value service.
+// StoreAddresses returns the addresses of the platform's key-value service.
 func (e Entry) StoreAddresses() []string { return e.doc.StoreAddresses }
 
-// VMListURL returns the platform's list of VMs.
+// VMListURL returns the URL of the platform's list of VMs.
 func (e Entry) VMListURL() string { return e.doc.VMListURL }
 
 // ClaimPartitions returns the number of partitions of keyed actions; it must
@@ -81,7 +82,7 @@
 func (e Entry) ClaimPartitions() int { return e.doc.ClaimPartitions }
 
 // LogLevel returns the lowest level that is logged.
-func (e Entry) LogLevel() slog.Level { return level(e.doc.LogLevel) }
+func (e Entry) LogLevel() slog.Level { return parseLevel(e.doc.LogLevel) }
 
 // Agent is the settings of an agent process.
 type Agent struct{ doc agentDocument }
@@ -103,8 +104,8 @@
 	LogLevel      string `json:"log-level"`
 }
 
-// ParseAgent checks raw and returns the settings or one error that names
-// every finding.
+// ParseAgent validates raw and returns the settings, or one error with all
+// findings.
 func ParseAgent(raw []byte) (Agent, error) {
 	doc := agentDocument{Limit: DefaultLimit, MaxLimit: DefaultMaxLimit}
 	if err := parse(schema.AgentSettings, raw, &doc); err != nil {
@@ -116,16 +117,16 @@
 // Node returns the process's name.
 func (a Agent) Node() string { return a.doc.Node }
 
-// FailureDomain returns where the process runs.
+// FailureDomain returns the failure domain in which the process runs.
 func (a Agent) FailureDomain() string { return a.doc.FailureDomain }
 
 // PeerAddress returns the address that entries link to.
 func (a Agent) PeerAddress() string { return a.doc.PeerAddress }
 
-// StatusAddress returns the address of health and metrics, or none.
+// StatusAddress returns the address that serves health and metrics, or "" for none.
 func (a Agent) StatusAddress() string { return a.doc.StatusAddress }
 
-// Upstream returns the name of the upstream beside the agent.
+// Upstream returns the name of the agent's upstream.
 func (a Agent) Upstream() string { return a.doc.Upstream }
 
 // Service returns the service that the upstream serves.
@@ -134,28 +135,28 @@
 // Version returns the version that the upstream runs.
 func (a Agent) Version() string { return a.doc.Version }
 
-// UpstreamURL returns where the upstream listens.
+// UpstreamURL returns the URL at which the upstream listens.
 func (a Agent) UpstreamURL() string { return a.doc.UpstreamURL }
 
-// Plain tells whether the upstream is a plain service, not a model engine.
+// Plain reports whether the upstream is a plain service, not a model engine.
 func (a Agent) Plain() bool { return a.doc.Plain }
 
-// Limit returns how many requests may run at first.
+// Limit returns the initial limit of concurrent requests.
 func (a Agent) Limit() int { return a.doc.Limit }
 
-// MaxLimit returns how many requests may ever run at once.
+// MaxLimit returns the maximum of that limit.
 func (a Agent) MaxLimit() int { return a.doc.MaxLimit }
 
-// TokenGap returns the gap between tokens that running requests should see.
-func (a Agent) TokenGap() time.Duration { return duration(a.doc.TokenGap, DefaultTokenGap) }
+// TokenGap returns the target for the time between tokens.
+func (a Agent) TokenGap() time.Duration { return parseDuration(a.doc.TokenGap, DefaultTokenGap) }
 
-// FirstToken returns the time to first token that they should see.
-func (a Agent) FirstToken() time.Duration { return duration(a.doc.FirstToken, DefaultFirstToken) }
+// FirstToken returns the target for the time to the first token.
+func (a Agent) FirstToken() time.Duration { return parseDuration(a.doc.FirstToken, DefaultFirstToken) }
 
 // LogLevel returns the lowest level that is logged.
-func (a Agent) LogLevel() slog.Level { return level(a.doc.LogLevel) }
+func (a Agent) LogLevel() slog.Level { return parseLevel(a.doc.LogLevel) }
 
-// ReadFile returns the bytes of a settings file.
+// ReadFile returns the content of a settings file.
 func ReadFile(path string) ([]byte, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -164,7 +165,7 @@
 	return raw, nil
 }
 
-func parse(kind schema.Kind, raw []byte, into any) error {
+func parse(kind schema.Kind, raw []byte, target any) error {
 	if findings := schema.Check(kind, raw); len(findings) > 0 {
 		lines := make([]string, 0, len(findings))
 		for _, f := range findings {
@@ -174,22 +175,23 @@
 	}
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return Invalid.Wrap(err, "correct the field named")
 	}
 	return nil
 }
 
-// duration reads what the schema has checked already.
-func duration(text string, otherwise time.Duration) time.Duration {
+// parseDuration parses a duration that the schema has already validated; it returns
+// defaultValue if the setting is omitted or zero.
+func parseDuration(text string, defaultValue time.Duration) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d <= 0 {
-		return otherwise
+		return defaultValue
 	}
 	return d
 }
 
-func level(name string) slog.Level {
+func parseLevel(name string) slog.Level {
 	var parsed slog.Level
 	if err := parsed.UnmarshalText([]byte(name)); err != nil {
 		return slog.LevelInfo
