--- a/internal/version/evidence/evidence.go
+++ b/internal/version/evidence/evidence.go
@@ -1,6 +1,6 @@
-// Package evidence counts how a version's runs went, by route, and tests a
-// new version against the old one sequentially: after each run it may be
-// asked whether enough is known, at a stated rate of false alarms.
+// Package evidence counts the outcomes of a version's runs by route, and compares
+// a new version with the old one by sequential tests: they may be evaluated after
+// each run and still keep the given rate of false alarms.
 package evidence
 
 import (
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// latencyBuckets is the number of powers of two of a millisecond that are
-// told apart: up to over an hour.
+// latencyBuckets is the number of latency buckets. Their bounds are powers of two
+// of a millisecond; the last bucket holds latencies from 2^20 ms, about 17 minutes.
 const latencyBuckets = 22
 
-// Tally is what was seen of one version on one route. The zero value is an
-// empty tally. Counts only grow, so a lost report costs nothing.
+// Tally counts the runs of one version on one route. The zero value is an empty
+// tally. Counts only increase, so a later report makes up for a lost one.
 type Tally struct {
 	runs     uint64
 	failures uint64
 	latency  [latencyBuckets]uint32
 }
 
-// Observe takes one run that ended.
+// Observe counts one run that ended.
 func (t *Tally) Observe(failed bool, latency time.Duration) {
 	t.runs++
 	if failed {
@@ -38,7 +38,7 @@
 // Failures returns the number of failed runs.
 func (t Tally) Failures() uint64 { return t.failures }
 
-// Buckets returns the latency counts, trailing zeros left out.
+// Buckets returns the latency counts without trailing zeros.
 func (t Tally) Buckets() []uint32 {
 	last := latencyBuckets
 	for last > 0 && t.latency[last-1] == 0 {
@@ -47,14 +47,14 @@
 	return append([]uint32(nil), t.latency[:last]...)
 }
 
-// FromCounts rebuilds a tally that a peer reported.
+// FromCounts returns the tally with the counts that a peer reported.
 func FromCounts(runs, failures uint64, buckets []uint32) Tally {
 	t := Tally{runs: runs, failures: failures}
 	copy(t.latency[:], buckets)
 	return t
 }
 
-// Add returns both tallies together.
+// Add returns the sum of both tallies.
 func (t Tally) Add(other Tally) Tally {
 	t.runs += other.runs
 	t.failures += other.failures
@@ -64,7 +64,7 @@
 	return t
 }
 
-// Minus returns what came after an earlier state of the same tally.
+// Minus returns the counts since an earlier state of the same tally.
 func (t Tally) Minus(earlier Tally) Tally {
 	t.runs -= min(t.runs, earlier.runs)
 	t.failures -= min(t.failures, earlier.failures)
@@ -74,13 +74,14 @@
 	return t
 }
 
-// FailureRate returns the share of failed runs, with one failure in a hundred
-// runs assumed beforehand, so that a short record proves nothing.
+// FailureRate returns the fraction of failed runs, smoothed with a prior of one
+// failure in a hundred runs, so that few runs prove nothing.
 func (t Tally) FailureRate() float64 {
 	return (float64(t.failures) + 1) / (float64(t.runs) + 100)
 }
 
-// slowerThan returns the runs in buckets above b, and all runs with a latency.
+// slowerThan returns the number of runs in buckets above b, and of all runs with
+// a latency.
 func (t Tally) slowerThan(b int) (slow, all uint64) {
 	for i, count := range t.latency {
 		all += uint64(count)
@@ -111,60 +112,60 @@
 	return min(bits.Len64(uint64(max(latency.Milliseconds(), 0))), latencyBuckets-1)
 }
 
-// Verdict is what the evidence says so far.
+// Verdict is the result of a test so far.
 type Verdict int
 
-// The verdicts.
+// Verdicts of a test.
 const (
-	// Open: not enough is known.
+	// Open means that there is not enough evidence.
 	Open Verdict = iota
-	// Good: as good as the old version.
+	// Good means that the new version is as good as the old one.
 	Good
-	// BadFailures: it fails more often.
+	// BadFailures means that the new version fails more often.
 	BadFailures
-	// BadLatency: it is slower.
+	// BadLatency means that the new version is slower.
 	BadLatency
 )
 
-// Test is the sequential test's settings.
+// Test is a sequential test, given by its thresholds.
 type Test struct {
-	// alarm is the log-likelihood ratio at which a version is called bad.
-	alarm float64
-	// clear is the one, below zero, at which it is called good.
-	clear float64
+	// badThreshold is the log-likelihood ratio from which a version is bad.
+	badThreshold float64
+	// goodThreshold is the log-likelihood ratio, below zero, down from which it is good.
+	goodThreshold float64
 }
 
-// NewTest returns a test by Wald's sequential probability ratio with the given
-// rates of false alarm and of missed faults.
+// NewTest returns Wald's sequential probability ratio test with the given rates
+// of false alarms and missed faults.
 func NewTest(falseAlarm, missed float64) Test {
-	return Test{alarm: math.Log((1 - missed) / falseAlarm), clear: math.Log(missed / (1 - falseAlarm))}
+	return Test{badThreshold: math.Log((1 - missed) / falseAlarm), goodThreshold: math.Log(missed / (1 - falseAlarm))}
 }
 
 const (
-	// failureFactor and failureLeast say what is bad: this many times the old
-	// rate, and at least this share.
-	failureFactor = 3
-	failureLeast  = 0.08
-	// slowFactor is how many times the old share of slow runs is bad, and
-	// slowLeast the least share.
-	slowFactor = 4
-	slowLeast  = 0.5
-	// baselineLeast is the lowest rate assumed of the old version.
-	baselineLeast = 0.01
-	// latencyRunsLeast is how many runs of the old version make its latency
-	// comparable.
-	latencyRunsLeast = 10
+	// badFailureFactor and minBadFailureRate define a bad failure rate:
+	// badFailureFactor times the old rate, and at least minBadFailureRate.
+	badFailureFactor  = 3
+	minBadFailureRate = 0.08
+	// badSlowFactor and minBadSlowRate define a bad fraction of slow runs:
+	// badSlowFactor times the old fraction, and at least minBadSlowRate.
+	badSlowFactor  = 4
+	minBadSlowRate = 0.5
+	// minBaselineRate is the lowest rate that is assumed for the old version.
+	minBaselineRate = 0.01
+	// minBaselineLatencyRuns is the number of runs of the old version from which
+	// latencies are compared.
+	minBaselineLatencyRuns = 10
 )
 
-// Compare tests the new version's tally against the old one's on the same
-// route in the same hours. Only likelihood ratios of counts are used, so the
-// test may be asked after every run.
-func (s Test) Compare(old, fresh Tally) Verdict {
-	failures := s.compareFailures(old, fresh)
+// Compare tests the new version's tally against the old version's on the same
+// route in the same period. It uses only likelihood ratios of counts, so it may be
+// called after every run.
+func (s Test) Compare(baseline, candidate Tally) Verdict {
+	failures := s.compareFailures(baseline, candidate)
 	if failures == BadFailures {
 		return BadFailures
 	}
-	latency := s.compareLatency(old, fresh)
+	latency := s.compareLatency(baseline, candidate)
 	if latency == BadLatency {
 		return BadLatency
 	}
@@ -174,55 +175,56 @@
 	return Open
 }
 
-func (s Test) compareFailures(old, fresh Tally) Verdict {
-	p0, p1 := failureRates(old)
-	return s.judge(ratio(fresh.failures, fresh.runs, p0, p1), BadFailures)
+func (s Test) compareFailures(baseline, candidate Tally) Verdict {
+	p0, p1 := failureHypotheses(baseline)
+	return s.decide(logLikelihoodRatio(candidate.failures, candidate.runs, p0, p1), BadFailures)
 }
 
-// failureRates are the shares between which the test decides: the old
-// version's, and what would be bad.
-func failureRates(old Tally) (p0, p1 float64) {
-	p0 = max(old.FailureRate(), baselineLeast)
-	return p0, min(max(failureLeast, failureFactor*p0), 0.95)
+// failureHypotheses returns the failure rates of the two hypotheses: p0, the old
+// version's, and p1, a bad one.
+func failureHypotheses(baseline Tally) (p0, p1 float64) {
+	p0 = max(baseline.FailureRate(), minBaselineRate)
+	return p0, min(max(minBadFailureRate, badFailureFactor*p0), 0.95)
 }
 
-// compareLatency counts a run as slow when it is over twice the old version's
-// median bucket: a route's own quantity, whatever its usual length.
-func (s Test) compareLatency(old, fresh Tally) Verdict {
-	logRatio, known := latencyRatio(old, fresh)
-	if !known {
+// compareLatency counts a run as slow if it takes at least twice the upper bound of
+// the old version's median bucket. That limit is relative to the route's own latency,
+// so it suits routes with short and with long runs.
+func (s Test) compareLatency(baseline, candidate Tally) Verdict {
+	logRatio, enough := latencyLogRatio(baseline, candidate)
+	if !enough {
 		return Open
 	}
-	return s.judge(logRatio, BadLatency)
+	return s.decide(logRatio, BadLatency)
 }
 
-func latencyRatio(old, fresh Tally) (float64, bool) {
-	median, ok := old.medianBucket()
-	slowOld, allOld := old.slowerThan(median + 1)
-	if !ok || allOld < latencyRunsLeast {
+func latencyLogRatio(baseline, candidate Tally) (float64, bool) {
+	median, ok := baseline.medianBucket()
+	slowBaseline, allBaseline := baseline.slowerThan(median + 1)
+	if !ok || allBaseline < minBaselineLatencyRuns {
 		return 0, false
 	}
-	p0 := max((float64(slowOld)+0.5)/(float64(allOld)+1), baselineLeast)
-	p1 := min(max(slowLeast, slowFactor*p0), 0.95)
+	p0 := max((float64(slowBaseline)+0.5)/(float64(allBaseline)+1), minBaselineRate)
+	p1 := min(max(minBadSlowRate, badSlowFactor*p0), 0.95)
 	if p1 <= p0 {
 		return 0, true
 	}
-	slow, all := fresh.slowerThan(median + 1)
-	return ratio(slow, all, p0, p1), true
+	slow, all := candidate.slowerThan(median + 1)
+	return logLikelihoodRatio(slow, all, p0, p1), true
 }
 
-func (s Test) judge(logRatio float64, bad Verdict) Verdict {
+func (s Test) decide(logRatio float64, bad Verdict) Verdict {
 	switch {
-	case logRatio >= s.alarm:
+	case logRatio >= s.badThreshold:
 		return bad
-	case logRatio <= s.clear:
+	case logRatio <= s.goodThreshold:
 		return Good
 	}
 	return Open
 }
 
-// ratio is the log-likelihood ratio of k successes in n under p1 against p0.
-func ratio(k, n uint64, p0, p1 float64) float64 {
+// logLikelihoodRatio returns the log-likelihood ratio of k events in n runs under p1 against p0.
+func logLikelihoodRatio(k, n uint64, p0, p1 float64) float64 {
 	return float64(k)*math.Log(p1/p0) + float64(n-k)*math.Log((1-p1)/(1-p0))
 }
 
@@ -234,7 +236,7 @@
 // NewBoard returns an empty board.
 func NewBoard() *Board { return &Board{tallies: make(map[string]map[string]Tally)} }
 
-// Observe takes one run that ended.
+// Observe counts one run that ended.
 func (b *Board) Observe(version, route string, failed bool, latency time.Duration) {
 	t := b.Get(version, route)
 	t.Observe(failed, latency)
@@ -252,19 +254,18 @@
 	b.tallies[version][route] = t
 }
 
-// Since returns what came after an earlier state of the same board.
+// Since returns the counts since an earlier state of the same board.
 func (b *Board) Since(earlier *Board) *Board {
-	later := NewBoard()
+	since := NewBoard()
 	for version, routes := range b.tallies {
 		for route, t := range routes {
-			later.Set(version, route, t.Minus(earlier.Get(version, route)))
+			since.Set(version, route, t.Minus(earlier.Get(version, route)))
 		}
 	}
-	return later
+	return since
 }
 
-// With returns a board with this board's version from and the other's version
-// to.
+// With returns a board with the version from of b and the version to of other.
 func (b *Board) With(from string, other *Board, to string) *Board {
 	joined := NewBoard()
 	for route, t := range b.tallies[from] {
@@ -285,7 +286,7 @@
 	}
 }
 
-// Routes returns the routes on which a version ran, in order.
+// Routes returns the routes on which a version ran, in order of name.
 func (b *Board) Routes(version string) []string {
 	routes := make([]string, 0, len(b.tallies[version]))
 	for route := range b.tallies[version] {
@@ -295,7 +296,7 @@
 	return routes
 }
 
-// Versions returns the versions seen, in order.
+// Versions returns the versions on the board, in order of name.
 func (b *Board) Versions() []string {
 	versions := make([]string, 0, len(b.tallies))
 	for version := range b.tallies {
@@ -314,56 +315,57 @@
 	return total
 }
 
-// Finding is the worst that is known of a version.
+// Finding is the result of comparing two versions, with the counts behind it.
 type Finding struct {
-	verdict Verdict
-	route   string
-	old     Tally
-	fresh   Tally
+	verdict   Verdict
+	route     string
+	baseline  Tally
+	candidate Tally
 }
 
-// Verdict returns what the evidence says.
+// Verdict returns the result of the test.
 func (f Finding) Verdict() Verdict { return f.verdict }
 
-// Route returns the route it was found on, or "" for all together.
+// Route returns the route of the finding, or "" for all routes together.
 func (f Finding) Route() string { return f.route }
 
-// Old returns the old version's tally there.
-func (f Finding) Old() Tally { return f.old }
+// Old returns the old version's tally on that route.
+func (f Finding) Old() Tally { return f.baseline }
 
-// Fresh returns the new version's tally there.
-func (f Finding) Fresh() Tally { return f.fresh }
+// Fresh returns the new version's tally on that route.
+func (f Finding) Fresh() Tally { return f.candidate }
 
-// Judge compares two versions on each route and in all. A bad route is enough
-// to call the version bad; it is good when it is good in all and no route is
-// bad. The alarm of a single route is raised by the number of routes, so that
-// many routes do not make a false alarm likelier.
+// Judge compares two versions on each route and over all routes. One bad route
+// makes the version bad; it is good if it is good over all routes and no route is
+// bad. The alarm threshold of single routes grows with their number (a Bonferroni
+// correction), so that many routes do not make a false alarm more likely.
 func (s Test) Judge(board *Board, from, to string) Finding {
 	routes := board.Routes(to)
 	strict := s
-	strict.alarm += math.Log(float64(max(len(routes), 1)))
+	strict.badThreshold += math.Log(float64(max(len(routes), 1)))
 	for _, route := range routes {
-		old, fresh := board.Get(from, route), board.Get(to, route)
-		if verdict := strict.Compare(old, fresh); verdict == BadFailures || verdict == BadLatency {
-			return Finding{verdict: verdict, route: route, old: old, fresh: fresh}
+		baseline, candidate := board.Get(from, route), board.Get(to, route)
+		if verdict := strict.Compare(baseline, candidate); verdict == BadFailures || verdict == BadLatency {
+			return Finding{verdict: verdict, route: route, baseline: baseline, candidate: candidate}
 		}
 	}
-	old, fresh := board.Total(from), board.Total(to)
-	verdict := s.compareFailures(old, fresh)
+	baseline, candidate := board.Total(from), board.Total(to)
+	verdict := s.compareFailures(baseline, candidate)
 	if verdict == Open || verdict == BadFailures {
-		return Finding{verdict: verdict, old: old, fresh: fresh}
+		return Finding{verdict: verdict, baseline: baseline, candidate: candidate}
 	}
-	return Finding{verdict: s.latencyOverRoutes(board, from, to, routes), old: old, fresh: fresh}
+	return Finding{verdict: s.latencyOverRoutes(board, from, to, routes), baseline: baseline, candidate: candidate}
 }
 
-// latencyOverRoutes adds up the routes' log ratios: latencies of unlike routes
-// must not be pooled, because a shift of the mix would look like a slowdown.
+// latencyOverRoutes adds the routes' log-likelihood ratios. Latencies of different
+// routes must not be pooled, because a change of the mix would look like a
+// slowdown.
 func (s Test) latencyOverRoutes(board *Board, from, to string, routes []string) Verdict {
 	sum := 0.0
 	for _, route := range routes {
-		if logRatio, known := latencyRatio(board.Get(from, route), board.Get(to, route)); known {
+		if logRatio, enough := latencyLogRatio(board.Get(from, route), board.Get(to, route)); enough {
 			sum += logRatio
 		}
 	}
-	return s.judge(sum, BadLatency)
+	return s.decide(sum, BadLatency)
 }
