--- a/internal/version/move/move.go
+++ b/internal/version/move/move.go
@@ -1,6 +1,6 @@
-// Package move steps a service's traffic from one version to another: shares
-// are planned back from the deadline, a step needs evidence, and a version
-// that is bad is taken back. It decides; it does no I/O and reads no clock.
+// Package move decides how a service's traffic moves from one version to another:
+// shares are planned back from the deadline, a step needs evidence, and a bad
+// version is taken back. The package does no I/O and reads no clock.
 package move
 
 import (
@@ -14,47 +14,48 @@
 	"github.com/persimmonridge/persimmonridge/internal/version/evidence"
 )
 
-// stage is one share of traffic, with the parts of the time between start and
-// deadline at which it ends at the earliest, however good the evidence, and at
-// the latest, if nothing speaks against the version.
+// stage is one share of traffic with the earliest and the latest time of its end,
+// as fractions of the time from start to deadline. A stage does not end before
+// earliest, however good the evidence; it ends at latest if there is no evidence
+// against the version.
 type stage struct {
 	share    float64
 	earliest float64
 	latest   float64
 }
 
-// stages spread a move over its time instead of racing it: a fault that shows
-// only later meets a small share. The last tenth of the time is slack.
+// stages spread a move over its whole time, so that a fault that shows late affects
+// a small share. The last tenth of the time is slack.
 var stages = []stage{{0.02, 0.15, 0.25}, {0.10, 0.35, 0.45}, {0.50, 0.60, 0.70}, {1, 0.80, 0.90}}
 
 const (
-	// dwellPart is the least part of the time that a stage lasts, also when
-	// the move is behind its plan.
-	dwellPart = 0.04
-	// falseAlarm and missed are the error rates of the test behind a step.
-	falseAlarm = 0.001
-	missed     = 0.01
+	// minStageFraction is the minimum duration of a stage as a fraction of the move's
+	// time. It also holds if the move is behind schedule.
+	minStageFraction = 0.04
+	// falseAlarmRate and missRate are the error rates of the test used for a step.
+	falseAlarmRate = 0.001
+	missRate       = 0.01
 )
 
-// Test returns the test that a step uses.
-func Test() evidence.Test { return evidence.NewTest(falseAlarm, missed) }
+// Test returns the test used for a step.
+func Test() evidence.Test { return evidence.NewTest(falseAlarmRate, missRate) }
 
-// Observed is what the duty's holder knows of the versions under test.
+// Observed holds the observations on which a step is decided.
 type Observed struct {
-	// All is the evidence since the move's start, and Stage that since the
-	// stage began.
+	// All holds the counts since the start of the move, and Stage those since the
+	// start of the stage.
 	All   *evidence.Board
 	Stage *evidence.Board
-	// Fault is what the watch over the newest reports found.
+	// Fault is the finding of the watch over the newest reports.
 	Fault evidence.Finding
-	// Braked is the number of upstreams that braked themselves.
+	// Braked is the number of upstreams that stopped themselves.
 	Braked int
-	// Ready tells whether upstreams of the new version can be chosen at all.
+	// Ready reports whether any upstream of the new version can be chosen.
 	Ready bool
 }
 
-// Step decides what comes next for a move and whether anything changes. The
-// state is the recorded one; known is false before the first.
+// Step returns the next state of a move and whether it differs from the recorded
+// state. known is false if no state has been recorded yet.
 func Step(now time.Time, m rules.Move, state document.MoveState, known bool, o Observed) (document.MoveState, bool) {
 	switch {
 	case !known:
@@ -66,7 +67,7 @@
 		return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why), true
 	}
 	if now.After(m.By()) {
-		return late(now, m, state, o)
+		return stepLate(now, m, state, o)
 	}
 	return advance(now, m, state, o)
 }
@@ -95,35 +96,36 @@
 	}
 	switch finding.Verdict() {
 	case evidence.BadFailures:
-		return fmt.Sprintf("%s fails%s: %d of %d runs against %d of %d with %s", m.To(), on(finding.Route()),
+		return fmt.Sprintf("%s fails%s: %d of %d runs against %d of %d with %s", m.To(), onRoute(finding.Route()),
 			finding.Fresh().Failures(), finding.Fresh().Runs(), finding.Old().Failures(), finding.Old().Runs(), m.From()), true
 	case evidence.BadLatency:
-		return fmt.Sprintf("%s is slower%s: seen over %d runs against %d with %s", m.To(), on(finding.Route()),
+		return fmt.Sprintf("%s is slower%s: seen over %d runs against %d with %s", m.To(), onRoute(finding.Route()),
 			finding.Fresh().Runs(), finding.Old().Runs(), m.From()), true
 	}
 	return "", false
 }
 
-func on(route string) string {
+func onRoute(route string) string {
 	if route == "" {
 		return ""
 	}
 	return " on " + route
 }
 
-// advance goes on when the evidence of this stage is good and the stage has
-// lasted long enough, or when the stage's time is up and nothing speaks
-// against it: little traffic must not keep a good version from completing.
+// advance goes to the next stage if the evidence of this stage is good and the
+// stage has lasted long enough, or if the stage's time is up and no run of the new
+// version failed, because little traffic must not keep a good version from
+// completing.
 func advance(now time.Time, m rules.Move, state document.MoveState, o Observed) (document.MoveState, bool) {
 	span, plan := m.By().Sub(m.Start()), stages[state.Stage()]
-	early := now.Before(m.Start().Add(part(span, plan.earliest))) || now.Sub(state.Since()) < part(span, dwellPart)
-	fresh := o.Stage.Total(m.To())
-	timeUp := !now.Before(m.Start().Add(part(span, plan.latest)))
-	nothingAgainst := timeUp && fresh.Failures() == 0 && o.Ready
-	if early || !nothingAgainst && o.stageVerdict(m) != evidence.Good {
+	tooEarly := now.Before(m.Start().Add(fractionOf(span, plan.earliest))) || now.Sub(state.Since()) < fractionOf(span, minStageFraction)
+	candidate := o.Stage.Total(m.To())
+	latestReached := !now.Before(m.Start().Add(fractionOf(span, plan.latest)))
+	mayAdvanceOnTime := latestReached && candidate.Failures() == 0 && o.Ready
+	if tooEarly || !mayAdvanceOnTime && o.stageVerdict(m) != evidence.Good {
 		return state, false
 	}
-	why := fmt.Sprintf("%d runs of %s, %d failed", fresh.Runs(), m.To(), fresh.Failures())
+	why := fmt.Sprintf("%d runs of %s, %d failed", candidate.Runs(), m.To(), candidate.Failures())
 	next := state.Stage() + 1
 	if next == len(stages) {
 		return document.NewMoveState(state.Stage(), 1, document.Completed, now, "completed: "+why), true
@@ -131,22 +133,22 @@
 	return document.NewMoveState(next, stages[next].share, document.Moving, now, why), true
 }
 
-// stageVerdict compares the new version's runs of this stage with the old
-// version's of the whole move: in the last stage the old one has none.
+// stageVerdict compares the new version's runs of this stage with the old version's
+// runs of the whole move, because in the last stage the old version has no runs.
 func (o Observed) stageVerdict(m rules.Move) evidence.Verdict {
 	return Test().Judge(o.All.With(m.From(), o.Stage, m.To()), m.From(), m.To()).Verdict()
 }
 
-// Stopped is the state of a move that a single entry's brake stopped. Any entry
-// may record it, whoever holds the duty: were it kept to itself, the duty
-// would see no more failures and take the silence for health.
+// Stopped returns the state of a move that the brake of a single entry stopped. Any
+// entry may record it, not only the one that decides on moves: otherwise that one
+// would see no more failures and take the version for healthy.
 func Stopped(now time.Time, m rules.Move, state document.MoveState, who string) document.MoveState {
-	why := fmt.Sprintf("%s fails: %s stopped sending to it on what its own callers saw", m.To(), who)
+	why := fmt.Sprintf("%s fails: %s stopped sending requests to it because of failures of its own callers' requests", m.To(), who)
 	return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why)
 }
 
-// late applies the operators' rule for a move that did not meet its deadline.
-func late(now time.Time, m rules.Move, state document.MoveState, o Observed) (document.MoveState, bool) {
+// stepLate applies the if-late rule to a move that did not meet its deadline.
+func stepLate(now time.Time, m rules.Move, state document.MoveState, o Observed) (document.MoveState, bool) {
 	if m.IfLate() == rules.Hold {
 		return advanceLate(now, m, state, o)
 	}
@@ -155,7 +157,7 @@
 	return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why), true
 }
 
-// advanceLate lets a held move go on, on good evidence only.
+// advanceLate advances a held move, but only on good evidence.
 func advanceLate(now time.Time, m rules.Move, state document.MoveState, o Observed) (document.MoveState, bool) {
 	if o.stageVerdict(m) != evidence.Good {
 		return state, false
@@ -163,23 +165,23 @@
 	return advance(now, m, state, o)
 }
 
-// Fits tells whether a move can still meet its deadline at the earliest pace,
-// so that one that cannot is named early.
+// Fits reports whether a move can still meet its deadline if every remaining stage
+// has the minimum duration, so that one that cannot is reported early.
 func Fits(now time.Time, m rules.Move, state document.MoveState) bool {
-	left := len(stages) - state.Stage()
-	need := time.Duration(left) * part(m.By().Sub(m.Start()), dwellPart)
-	return !now.Add(need).After(m.By())
+	remaining := len(stages) - state.Stage()
+	required := time.Duration(remaining) * fractionOf(m.By().Sub(m.Start()), minStageFraction)
+	return !now.Add(required).After(m.By())
 }
 
-// Chosen tells whether a request belongs to the share of the new version. All
-// entries agree with no shared counter, because only the request's id and the
-// share decide.
+// Chosen reports whether a request belongs to the share of the new version. It
+// depends only on the move, the request's id and the share, so that all entries
+// agree without a shared counter.
 func Chosen(m rules.Move, requestID string, share float64) bool {
 	const steps = 1 << 20
 	hash := xxhash.Sum64String(m.Name() + "\x00" + requestID)
 	return float64(hash%steps) < share*steps
 }
 
-func part(span time.Duration, share float64) time.Duration {
+func fractionOf(span time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(span))
 }
--- a/internal/version/move/move_test.go
+++ b/internal/version/move/move_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-func wish(t *testing.T, ifLate string) rules.Move {
+func newMove(t *testing.T, ifLate string) rules.Move {
 	inv, findings := inventory.Parse(examples.CairoInventory)
 	require.Empty(t, findings)
 	if ifLate == "" {
@@ -47,8 +47,8 @@
 	Share  float64 `json:"share"`
 }
 
-// fill puts runs and failures of one version on a board.
-func fill(board *evidence.Board, version string, counts [2]int) {
+// observeRuns adds runs and failures of one version to a board.
+func observeRuns(board *evidence.Board, version string, counts [2]int) {
 	for i := range counts[0] {
 		board.Observe(version, "w/a", i < counts[1], time.Duration(50+i%50)*time.Millisecond)
 	}
@@ -71,19 +71,20 @@
 				state = document.NewMoveState(*c.Stage, shares[*c.Stage], document.Moving, start.Add(since), "")
 			}
 			board := evidence.NewBoard()
-			fill(board, "easel-1", c.Old)
-			fill(board, "easel-2", c.New)
-			next, _ := move.Step(start.Add(at), wish(t, c.IfLate), state, c.Stage != nil, move.Observed{All: board, Stage: board, Braked: c.Braked, Ready: c.Ready})
+			observeRuns(board, "easel-1", c.Old)
+			observeRuns(board, "easel-2", c.New)
+			next, _ := move.Step(start.Add(at), newMove(t, c.IfLate), state, c.Stage != nil, move.Observed{All: board, Stage: board, Braked: c.Braked, Ready: c.Ready})
 			require.Equal(t, c.Want, string(next.Verdict()), next.Why())
 			require.InDelta(t, c.Share, next.Share(), 1e-9)
 		})
 	}
 }
 
-// Two entries gave the new version more than its share between them, because
-// each counted for itself. The request's id alone decides, at every entry.
-func TestShareHoldsWithoutACounter(t *testing.T) {
-	m := wish(t, "")
+// Guards against entries that together give the new version more than its share,
+// as they do if each one counts on its own. Only the request's id decides, at every
+// entry.
+func TestShareHoldsWithoutSharedCounter(t *testing.T) {
+	m := newMove(t, "")
 	for _, share := range []float64{0, 0.02, 0.1, 0.5, 1} {
 		chosen := 0
 		const requests = 20000
@@ -97,7 +98,7 @@
 }
 
 func TestFits(t *testing.T) {
-	m := wish(t, "")
+	m := newMove(t, "")
 	state := document.NewMoveState(0, 0.02, document.Moving, start, "")
 	require.True(t, move.Fits(start, m, state))
 	require.False(t, move.Fits(start.Add(55*time.Minute), m, state))
