--- a/internal/version/rollout/judge.go
+++ b/internal/version/rollout/judge.go
@@ -4,13 +4,13 @@
 	"github.com/persimmonridge/persimmonridge/internal/version/evidence"
 )
 
-// Sides of a move in its evidence.
+// Names of the two sides of a move on the evidence board.
 const (
-	old   = "old"
-	fresh = "new"
+	sideOld    = "old"
+	sideTarget = "new"
 )
 
-// Judge gathers what all gateways saw of one move. It is not safe for
+// Judge evaluates the reports of all gateways on one move. It is not safe for
 // concurrent use.
 type Judge struct {
 	order   int64
@@ -20,7 +20,7 @@
 	fault   evidence.Finding
 }
 
-// Report is what one process saw of a move since the process started.
+// Report holds the counts of one process for a move since the process started.
 type Report struct {
 	Order int64
 	// Run identifies the process.
@@ -28,7 +28,7 @@
 	Entries []Entry
 }
 
-// Entry is what was seen on one route of one side of a move.
+// Entry holds the counts for one route and one side of a move.
 type Entry struct {
 	Target   bool
 	Route    string
@@ -37,57 +37,58 @@
 	Buckets  []uint32
 }
 
-// NewJudge returns a judge of the order that has seen nothing.
+// NewJudge returns a judge of the given order without reports.
 func NewJudge(order int64) *Judge {
-	return &Judge{order: order, reports: make(map[string]Report), watch: evidence.NewWatch(), test: evidence.NewTest(falseAlarm, missed)}
+	return &Judge{order: order, reports: make(map[string]Report), watch: evidence.NewWatch(), test: evidence.NewTest(falseAlarmRate, missRate)}
 }
 
-// Hear takes a gateway's report. A lost one costs nothing, as counts are totals.
+// Hear stores a gateway's report. Counts are totals, so a later report makes up for
+// a lost one.
 func (j *Judge) Hear(node string, r Report) {
 	if r.Order == j.order {
 		j.reports[node] = r
 	}
 }
 
-// Fault returns what speaks against the target. A fault that was found stays.
+// Fault returns the evidence against the target. Once a fault is found, it stays.
 func (j *Judge) Fault() evidence.Finding {
-	if bad(j.fault) {
+	if isBad(j.fault) {
 		return j.fault
 	}
 	board := evidence.NewBoard()
 	for _, r := range j.reports {
-		for _, e := range r.Entries {
-			side := old
-			if e.Target {
-				side = fresh
+		for _, entry := range r.Entries {
+			side := sideOld
+			if entry.Target {
+				side = sideTarget
 			}
-			board.Set(side, e.Route, board.Get(side, e.Route).Add(evidence.FromCounts(e.Runs, e.Failures, e.Buckets)))
+			board.Set(side, entry.Route, board.Get(side, entry.Route).Add(evidence.FromCounts(entry.Runs, entry.Failures, entry.Buckets)))
 		}
 	}
-	j.fault = j.watch.Update(board, old, fresh)
-	if !bad(j.fault) {
-		j.fault = j.test.Judge(board, old, fresh)
+	j.fault = j.watch.Update(board, sideOld, sideTarget)
+	if !isBad(j.fault) {
+		j.fault = j.test.Judge(board, sideOld, sideTarget)
 	}
 	return j.fault
 }
 
-// Tally counts what one gateway sees of a move.
+// Tally counts the outcomes of a move's requests at one gateway.
 type Tally struct {
 	order int64
 	board *evidence.Board
 }
 
-// NewTally returns a tally of the order.
+// NewTally returns an empty tally of the given order.
 func NewTally(order int64) *Tally { return &Tally{order: order, board: evidence.NewBoard()} }
 
-// Entries returns what was counted.
+// Entries returns the counts by side and route.
 func (t *Tally) Entries() []Entry {
 	var entries []Entry
 	for _, side := range t.board.Versions() {
 		for _, route := range t.board.Routes(side) {
 			tally := t.board.Get(side, route)
 			entries = append(entries, Entry{
-				Target: side == fresh, Route: route, Runs: tally.Runs(), Failures: tally.Failures(), Buckets: tally.Buckets(),
+				Target: side == sideTarget, Route: route, Runs: tally.Runs(), Failures: tally.Failures(), Buckets: tally.Buckets(),
 			})
 		}
 	}
--- a/internal/version/rollout/picker.go
+++ b/internal/version/rollout/picker.go
@@ -10,8 +10,8 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/roster"
 )
 
-// Picker chooses the side of a move for each request, and counts how requests
-// went on both. It implements flow.Picker over another one.
+// Picker chooses the side of a move for each request, and counts the outcomes on
+// both sides. It implements flow.Picker by wrapping another one.
 type Picker struct {
 	next flow.Picker
 
@@ -20,12 +20,12 @@
 	tallies map[string]*Tally
 }
 
-// NewPicker returns a picker that knows no move.
+// NewPicker returns a picker without moves that wraps next.
 func NewPicker(next flow.Picker) *Picker {
 	return &Picker{next: next, states: make(map[string]State), tallies: make(map[string]*Tally)}
 }
 
-// SetState takes the state of a service's move.
+// SetState sets the state of a service's move.
 func (p *Picker) SetState(service string, s State) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -43,7 +43,7 @@
 	return s, ok
 }
 
-// Entries returns what was seen of each service's running move.
+// Entries returns the report on each service's running move.
 func (p *Picker) Entries() map[string]Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,67 +70,68 @@
 	}
 	place, err := p.next.Pick(ctx, now, a)
 	if err != nil && state.Phase == Running && toTarget {
-		// The target has no room or no upstream: the request is not the
-		// target's to lose.
+		// The target has no free slot or no upstream; the request must not fail
+		// because of the move, so it goes to the other versions.
 		a.Only, a.Not = "", state.Target
 		place, err = p.next.Pick(ctx, now, a)
 	}
 	if err != nil || state.Phase != Running {
 		return place, err
 	}
-	return &observed{Place: place, picker: p, service: a.Service, route: a.Route.Name, state: state, begun: now}, nil
+	return &countedPlace{Place: place, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
 }
 
-// observed is a place whose outcome counts for a move.
-type observed struct {
+// countedPlace is a flow.Place whose outcome is counted for a move.
+type countedPlace struct {
 	flow.Place
-	picker  *Picker
-	service string
-	route   string
-	state   State
-	begun   time.Time
+	picker   *Picker
+	service  string
+	route    string
+	state    State
+	pickedAt time.Time
 
-	mu      sync.Mutex
-	started time.Time
+	mu        sync.Mutex
+	startedAt time.Time
 }
 
 // Load implements flow.Place.
-func (o *observed) Load(now time.Time, load exchange.Load) { o.Place.Load(now, load) }
+func (p *countedPlace) Load(now time.Time, load exchange.Load) { p.Place.Load(now, load) }
 
 // Upstream implements flow.Place.
-func (o *observed) Upstream() roster.Upstream { return o.Place.Upstream() }
+func (p *countedPlace) Upstream() roster.Upstream { return p.Place.Upstream() }
 
 // Started implements flow.Place.
-func (o *observed) Started(now time.Time) {
-	o.mu.Lock()
-	if o.started.IsZero() {
-		o.started = now
+func (p *countedPlace) Started(now time.Time) {
+	p.mu.Lock()
+	if p.startedAt.IsZero() {
+		p.startedAt = now
 	}
-	o.mu.Unlock()
-	o.Place.Started(now)
+	p.mu.Unlock()
+	p.Place.Started(now)
 }
 
-// Done implements flow.Place. What callers gave up and what did not run says
-// nothing of a version; what broke off is a crash or a cut, which come to all.
-func (o *observed) Done(now time.Time, outcome flow.Outcome, tokens int) {
-	o.Place.Done(now, outcome, tokens)
+// Done implements flow.Place. Requests that callers canceled or that did not run
+// say nothing about a version; neither do answers that broke off, since crashes and
+// cut connections affect every version.
+func (p *countedPlace) Done(now time.Time, outcome flow.Outcome, tokens int) {
+	p.Place.Done(now, outcome, tokens)
 	failed := outcome == flow.Failed
 	if !failed && outcome != flow.Answered {
 		return
 	}
-	o.mu.Lock()
-	took := now.Sub(o.begun)
-	if !o.started.IsZero() {
-		took = o.started.Sub(o.begun)
+	p.mu.Lock()
+	took := now.Sub(p.pickedAt)
+	if !p.startedAt.IsZero() {
+		took = p.startedAt.Sub(p.pickedAt)
 	}
-	o.mu.Unlock()
-	side := old
-	if o.Upstream().Version == o.state.Target {
-		side = fresh
+	p.mu.Unlock()
+	side := sideOld
+	if p.Upstream().Version == p.state.Target {
+		side = sideTarget
 	}
-	o.picker.mu.Lock()
-	defer o.picker.mu.Unlock()
-	if tally := o.picker.tallies[o.service]; tally != nil && tally.order == o.state.Order {
-		tally.board.Observe(side, o.route, failed, took)
+	p.picker.mu.Lock()
+	defer p.picker.mu.Unlock()
+	if tally := p.picker.tallies[p.service]; tally != nil && tally.order == p.state.Order {
+		tally.board.Observe(side, p.route, failed, took)
 	}
 }
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout moves a service's traffic to another version when operators
-// order it, a small share at a time, and takes it back when the version is bad.
-// The gateway that schedules decides; all gateways follow what it wrote.
+// Package rollout moves a service's traffic to another version on the operators'
+// order, a small share at a time, and reverts the move if the version is bad. The
+// gateway that runs the scheduler decides; all gateways follow the state it writes.
 package rollout
 
 import (
@@ -11,64 +11,65 @@
 	"github.com/persimmonridge/persimmonridge/internal/version/evidence"
 )
 
-// Order is the operators' wish.
+// Order is an operators' request to move a service's traffic.
 type Order struct {
 	Service  string
 	Target   string
 	Duration time.Duration
-	// Revision is the order's in the store; a later order replaces it.
+	// Revision is the order's revision in the store; a later order replaces it.
 	Revision int64
 }
 
-// Phase is where a move stands.
+// Phase is the phase of a move.
 type Phase string
 
-// The phases.
+// Phases of a move.
 const (
 	Running  Phase = "running"
 	Complete Phase = "complete"
 	Reverted Phase = "reverted"
 )
 
-// State is what is kept of a move.
+// State is the stored state of a move.
 type State struct {
 	Order int64 `json:"order"`
-	// Target is the version that the move is to.
+	// Target is the version to which the traffic moves.
 	Target string `json:"target"`
 	Phase  Phase  `json:"phase"`
-	// Share is the part of the service's requests that the target gets.
+	// Share is the fraction of the service's requests that the target gets.
 	Share float64 `json:"share"`
-	// BeganMs is when the move began, in Unix milliseconds, for a gateway that
-	// takes the duty over.
+	// BeganMs is the start of the move in Unix milliseconds. It is stored for a
+	// gateway that takes over as scheduler.
 	BeganMs int64  `json:"began-ms"`
 	Why     string `json:"why"`
 }
 
-// stage is a share and the part of the move's time up to which it lasts.
+// stage is a share and its end, as a fraction of the move's duration.
 type stage struct{ until, share float64 }
 
-// stages keep what a version gets in all under a tenth of the requests up to
-// the deadline, however late it turns out bad: 0.2x0.03 + 0.5x0.06 + 0.15x0.15
-// is 0.059. The last stage shows faults that appear only under load.
+// stages keep the target's part of all requests before the deadline below a tenth,
+// however late it turns out bad: 0.2x0.03 + 0.5x0.06 + 0.15x0.15 is 0.059. The last
+// stage shows faults that appear only under load.
 var stages = []stage{{0.2, 0.03}, {0.7, 0.06}, {0.85, 0.15}}
 
 const (
-	// completeAt is the part of the time after which a version that nothing
-	// speaks against takes over: its old upstreams stop then at once.
-	completeAt = 0.85
-	// giveUpAt is the part after which a move without any upstream of its
-	// target is taken back.
-	giveUpAt = 0.95
-	// falseAlarm and missed are the error rates of the test over all runs.
-	falseAlarm = 0.0005
-	missed     = 0.01
+	// completeFraction is the fraction of the duration after which a version without
+	// evidence against it gets all requests. The old upstreams then stop at once.
+	completeFraction = 0.85
+	// giveUpFraction is the fraction of the duration after which a move is reverted if
+	// the target has no upstream.
+	giveUpFraction = 0.95
+	// falseAlarmRate and missRate are the error rates of the test over all runs of the
+	// move.
+	falseAlarmRate = 0.0005
+	missRate       = 0.01
 )
 
-// Observed is what the holder of the duty knows of a move.
+// Observed holds the observations on which a step is decided.
 type Observed struct {
-	// Fault is what speaks against the target, or the zero Finding.
+	// Fault is the evidence against the target, or the zero Finding.
 	Fault evidence.Finding
-	// Ready tells whether upstreams of the target can be chosen.
+	// Ready reports whether any upstream of the target can be chosen.
 	Ready bool
 }
 
@@ -77,27 +78,27 @@
 	return State{Order: o.Revision, Target: o.Target, Phase: Running, Share: stages[0].share, BeganMs: now.UnixMilli(), Why: "ordered"}
 }
 
-// Step decides what comes next for a running move and whether anything changes.
-func Step(now time.Time, o Order, s State, seen Observed) (State, bool) {
+// Step returns the next state of a move and whether it differs from s.
+func Step(now time.Time, o Order, s State, observed Observed) (State, bool) {
 	if s.Phase != Running {
 		return s, false
 	}
-	if bad(seen.Fault) {
-		return s.end(Reverted, 0, "the version is bad on route "+seen.Fault.Route()), true
+	if isBad(observed.Fault) {
+		return s.end(Reverted, 0, "the version is bad on route "+observed.Fault.Route()), true
 	}
-	part := float64(now.UnixMilli()-s.BeganMs) / float64(max(1, o.Duration.Milliseconds()))
-	if part >= completeAt && seen.Ready {
-		return s.end(Complete, 1, "nothing speaks against the version"), true
+	elapsed := float64(now.UnixMilli()-s.BeganMs) / float64(max(1, o.Duration.Milliseconds()))
+	if elapsed >= completeFraction && observed.Ready {
+		return s.end(Complete, 1, "no evidence against the version"), true
 	}
-	if part >= giveUpAt {
-		return s.end(Reverted, 0, "no upstream of the version is there"), true
+	if elapsed >= giveUpFraction {
+		return s.end(Reverted, 0, "the version has no upstream"), true
 	}
 	for _, stage := range stages {
-		if part < stage.until && s.Share != stage.share {
+		if elapsed < stage.until && s.Share != stage.share {
 			s.Share, s.Why = stage.share, "next share"
 			return s, true
 		}
-		if part < stage.until {
+		if elapsed < stage.until {
 			return s, false
 		}
 	}
@@ -109,13 +110,13 @@
 	return s
 }
 
-func bad(f evidence.Finding) bool {
+func isBad(f evidence.Finding) bool {
 	return f.Verdict() == evidence.BadFailures || f.Verdict() == evidence.BadLatency
 }
 
-// Chosen tells whether a request belongs to the target's share. The id decides,
-// so that all gateways and repeats agree.
+// Chosen reports whether a request belongs to the target's share. It depends on the
+// request's id, so that all gateways and retries agree.
 func (s State) Chosen(service, request string) bool {
-	at := float64(xxhash.Sum64String(service+"\n"+s.Target+"\n"+request)>>11) / (1 << 53)
-	return at < s.Share
+	position := float64(xxhash.Sum64String(service+"\n"+s.Target+"\n"+request)>>11) / (1 << 53)
+	return position < s.Share
 }
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -15,48 +15,48 @@
 	order = rollout.Order{Service: "s", Target: "v2", Duration: 20 * time.Second, Revision: 7}
 )
 
-// move plays an order: each of the requests a second goes to a side, and the
-// target fails and slows down as the functions of time say.
-type move struct {
-	perSecond int
-	failShare func(at time.Duration) float64
-	slowness  func(at time.Duration) time.Duration
-	ready     bool
+// simulation simulates an order: perSecond requests per second go to one of the sides,
+// and the target's failure rate and latency are given as functions of time.
+type simulation struct {
+	perSecond   int
+	failureRate func(at time.Duration) float64
+	latency     func(at time.Duration) time.Duration
+	ready       bool
 }
 
 type result struct {
-	state   rollout.State
-	ended   time.Duration
-	exposed int
-	total   int
-	bad50   time.Duration
-	late    int
+	state              rollout.State
+	endedAt            time.Duration
+	targetRequests     int
+	total              int
+	fiftyBadAt         time.Duration
+	lateTargetRequests int
 }
 
-func (m move) play() result {
+func (m simulation) run() result {
 	judge := rollout.NewJudge(order.Revision)
 	state := rollout.Begin(start, order)
 	sides := map[bool]*rollout.Entry{true: {Target: true, Route: "r"}, false: {Route: "r"}}
 	got := result{}
-	badAnswers := 0
+	badCount := 0
 	for i := 0; i < m.perSecond*20; i++ {
 		at := time.Duration(i) * time.Second / time.Duration(m.perSecond)
 		target := state.Phase == rollout.Complete || (state.Phase == rollout.Running && state.Chosen("s", fmt.Sprint(i)))
 		got.total++
 		failed, took := i%250 == 0, 100*time.Millisecond
 		if target {
-			got.exposed++
-			failed = float64(i%100) < 100*m.failShare(at)
-			took = m.slowness(at)
+			got.targetRequests++
+			failed = float64(i%100) < 100*m.failureRate(at)
+			took = m.latency(at)
 			if failed || took > 300*time.Millisecond {
-				badAnswers++
+				badCount++
 			}
 		}
-		if badAnswers == 50 && got.bad50 == 0 {
-			got.bad50 = at
+		if badCount == 50 && got.fiftyBadAt == 0 {
+			got.fiftyBadAt = at
 		}
-		if got.bad50 > 0 && target && at > got.bad50+5*time.Second {
-			got.late++
+		if got.fiftyBadAt > 0 && target && at > got.fiftyBadAt+5*time.Second {
+			got.lateTargetRequests++
 		}
 		side := sides[target]
 		side.Runs++
@@ -78,7 +78,7 @@
 			judge.Hear("gateway", rollout.Report{Order: order.Revision, Entries: entries})
 			next, changed := rollout.Step(start.Add(at), order, state, rollout.Observed{Fault: judge.Fault(), Ready: m.ready})
 			if changed && next.Phase != rollout.Running {
-				got.ended = at
+				got.endedAt = at
 			}
 			state = next
 		}
@@ -87,11 +87,11 @@
 	return got
 }
 
-func never(time.Duration) float64 { return 0.004 }
+func usualFailures(time.Duration) float64 { return 0.004 }
 
-func usual(time.Duration) time.Duration { return 100 * time.Millisecond }
+func usualLatency(time.Duration) time.Duration { return 100 * time.Millisecond }
 
-func after(from time.Duration, share float64) func(time.Duration) float64 {
+func failuresFrom(from time.Duration, share float64) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at < from {
 			return 0.004
@@ -100,46 +100,47 @@
 	}
 }
 
-// A good version takes over before its deadline.
+// A good version gets all traffic before the deadline.
 func TestGoodVersionIsCompletedInTime(t *testing.T) {
-	got := move{perSecond: 200, failShare: never, slowness: usual, ready: true}.play()
+	got := simulation{perSecond: 200, failureRate: usualFailures, latency: usualLatency, ready: true}.run()
 	require.Equal(t, rollout.Complete, got.state.Phase)
-	require.Less(t, got.ended, order.Duration)
+	require.Less(t, got.endedAt, order.Duration)
 }
 
-// A version fails a third of its requests, at once, later or shortly before the
-// end. It is taken back within seconds, and gets less than a tenth of the
-// requests and fifty more.
-func TestFailingVersionIsTakenBack(t *testing.T) {
+// A version fails a third of its requests: from the start, later, or shortly before
+// the end. The move is reverted within seconds, and the version gets less than a
+// tenth of the requests plus fifty.
+func TestFailingVersionIsReverted(t *testing.T) {
 	for _, from := range []time.Duration{0, 6 * time.Second, 13 * time.Second} {
 		for _, perSecond := range []int{50, 250} {
 			t.Run(fmt.Sprint(from, perSecond), func(t *testing.T) {
-				got := move{perSecond: perSecond, failShare: after(from, 0.35), slowness: usual, ready: true}.play()
+				got := simulation{perSecond: perSecond, failureRate: failuresFrom(from, 0.35), latency: usualLatency, ready: true}.run()
 				require.Equal(t, rollout.Reverted, got.state.Phase)
-				require.LessOrEqual(t, float64(got.exposed), 0.1*float64(got.total)+50)
-				require.Zero(t, got.late)
+				require.LessOrEqual(t, float64(got.targetRequests), 0.1*float64(got.total)+50)
+				require.Zero(t, got.lateTargetRequests)
 			})
 		}
 	}
 }
 
-// A version answers five times slower, which no status shows.
-func TestSlowVersionIsTakenBack(t *testing.T) {
+// A version answers five times slower, which does not show in the status of its
+// answers.
+func TestSlowVersionIsReverted(t *testing.T) {
 	slow := func(time.Duration) time.Duration { return 500 * time.Millisecond }
-	got := move{perSecond: 200, failShare: never, slowness: slow, ready: true}.play()
+	got := simulation{perSecond: 200, failureRate: usualFailures, latency: slow, ready: true}.run()
 	require.Equal(t, rollout.Reverted, got.state.Phase)
-	require.Less(t, got.ended, 8*time.Second)
+	require.Less(t, got.endedAt, 8*time.Second)
 }
 
-// No upstream of the version ever comes. Completing the move would stop the old
-// ones and leave the service without any.
-func TestMoveWithoutUpstreamsIsTakenBack(t *testing.T) {
-	got := move{perSecond: 200, failShare: never, slowness: usual}.play()
+// The version never has an upstream. Completing the move would stop the old
+// upstreams and leave the service without any.
+func TestMoveWithoutUpstreamsIsReverted(t *testing.T) {
+	got := simulation{perSecond: 200, failureRate: usualFailures, latency: usualLatency}.run()
 	require.Equal(t, rollout.Reverted, got.state.Phase)
 }
 
-// A move that has ended changes no more, whatever is seen later.
-func TestEndedMovesStay(t *testing.T) {
+// The state of a move that has ended does not change, whatever is observed later.
+func TestEndedMoveIsFinal(t *testing.T) {
 	state := rollout.State{Order: 7, Target: "v2", Phase: rollout.Reverted}
 	_, changed := rollout.Step(start.Add(time.Hour), order, state, rollout.Observed{Ready: true})
 	require.False(t, changed)
