--- a/internal/version/evidence/evidence_test.go
+++ b/internal/version/evidence/evidence_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Each case gives the failure rates and latencies of two versions; the verdict must be want in at
-// least the given number of a hundred seeds.
+// Each case gives the failure rates and latencies of two versions; the verdict must
+// be want for at least minHits of a hundred seeds.
 func TestJudge(t *testing.T) {
 	cases := []struct {
 		name                  string
