--- a/internal/caller/request/request.go
+++ b/internal/caller/request/request.go
@@ -1,7 +1,7 @@
-// Package request reads what a caller asks for: workspace, service, action,
-// tier, deadline, idempotency key, and the marks by which a body is known
-// again. Whatever is unknown or ill-formed is refused here, before anything
-// else is done.
+// Package request parses and validates callers' requests: workspace, service,
+// action, tier, deadline, idempotency key, and the hashes that identify the body
+// and its prompt prefix. Unknown names and malformed requests are refused before
+// any other processing.
 package request
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/config/inventory"
 )
 
-// Header fields of the callers' interface.
+// Header fields of the public API.
 const (
 	HeaderWorkspace = "X-Workspace"
 	HeaderAction    = "X-Action"
@@ -35,20 +35,19 @@
 const ChatPath = "/v1/chat/completions"
 
 const (
-	// MaxBody bounds a request's body.
+	// MaxBody is the maximum size of a request body in bytes.
 	MaxBody = 1 << 20
-	// maxKey bounds an idempotency key.
-	maxKey = 255
-	// longestDeadline bounds what a caller may ask for.
-	longestDeadline = 5 * time.Minute
-	// prefixBytes is how much of a prompt without a system message makes its
-	// prefix.
+	// maxKeyBytes is the maximum length of an idempotency key.
+	maxKeyBytes = 255
+	// maxDeadline is the longest deadline that a caller may set.
+	maxDeadline = 5 * time.Minute
+	// prefixBytes is the length of the prefix of a prompt without a system message.
 	prefixBytes = 256
-	// bytesPerToken is the usual length of a token of text.
+	// bytesPerToken is the typical length of a token of text.
 	bytesPerToken = 4
 )
 
-// Request is one caller's request, complete and checked.
+// Request is one complete and valid request of a caller.
 type Request struct {
 	id           string
 	workspace    string
@@ -69,7 +68,8 @@
 	path         string
 }
 
-// Read checks a caller's request against the configuration in force.
+// Read reads a caller's request and validates it against the configuration doc. It
+// returns a refusal if the request is not valid.
 func Read(now time.Time, id string, r *http.Request, doc document.Document) (*Request, *refusal.Refusal) {
 	body, refused := readBody(r)
 	if refused != nil {
@@ -92,7 +92,7 @@
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, MaxBody))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, refusal.New(refusal.TooLarge, refusal.NotRun, "the body is over "+strconv.Itoa(MaxBody)+" bytes", "send a smaller one")
+		return nil, refusal.New(refusal.TooLarge, refusal.NotRun, "the body is larger than "+strconv.Itoa(MaxBody)+" bytes", "send a smaller one")
 	}
 	if err != nil {
 		return nil, refusal.New(refusal.BadRequest, refusal.NotRun, "the body could not be read", "send the request again")
@@ -100,8 +100,8 @@
 	return body, nil
 }
 
-// chat is what is read of an OpenAI-style body.
-type chat struct {
+// chatBody holds the fields used of an OpenAI-style chat completion.
+type chatBody struct {
 	Model    string    `json:"model"`
 	Messages []message `json:"messages"`
 }
@@ -123,7 +123,7 @@
 	q.service = service
 	q.path = strings.TrimPrefix(r.URL.RequestURI(), "/"+name)
 	for _, action := range service.Actions() {
-		if action.Method() == r.Method && matches(action.Path(), "/"+rest) {
+		if action.Method() == r.Method && matchesPattern(action.Path(), "/"+rest) {
 			q.action = action
 			return nil
 		}
@@ -131,16 +131,16 @@
 	return refusal.New(refusal.UnknownName, refusal.NotRun, "service "+name+" has no action for "+r.Method+" /"+rest, "use a method and path of the inventory")
 }
 
-// matches compares path and pattern by segment; a segment in braces stands for
-// any one.
-func matches(pattern, path string) bool {
-	want, have := strings.Split(pattern, "/"), strings.Split(path, "/")
-	if len(want) != len(have) {
+// matchesPattern reports whether path matches pattern segment by segment. A segment
+// of the pattern in braces matches any non-empty segment.
+func matchesPattern(pattern, path string) bool {
+	patternSegments, pathSegments := strings.Split(pattern, "/"), strings.Split(path, "/")
+	if len(patternSegments) != len(pathSegments) {
 		return false
 	}
-	for i := range want {
-		open := strings.HasPrefix(want[i], "{") && strings.HasSuffix(want[i], "}")
-		if want[i] == have[i] || open && have[i] != "" {
+	for i := range patternSegments {
+		isParameter := strings.HasPrefix(patternSegments[i], "{") && strings.HasSuffix(patternSegments[i], "}")
+		if patternSegments[i] == pathSegments[i] || isParameter && pathSegments[i] != "" {
 			continue
 		}
 		return false
@@ -148,17 +148,17 @@
 	return true
 }
 
-// readChat takes the service, and the action if given, from the model's name:
-// "tutor" or "tutor/critique". Ordinary clients need nothing else.
+// readChat reads the service, and the action if given, from the model name: "tutor"
+// or "tutor/critique". So OpenAI clients need no other fields.
 func (q *Request) readChat(r *http.Request, doc document.Document) *refusal.Refusal {
 	if r.Method != http.MethodPost {
-		return refusal.New(refusal.BadRequest, refusal.NotRun, ChatPath+" takes POST", "use POST")
+		return refusal.New(refusal.BadRequest, refusal.NotRun, ChatPath+" accepts only POST", "use POST")
 	}
-	var c chat
-	if err := json.Unmarshal(q.body, &c); err != nil || c.Model == "" || len(c.Messages) == 0 {
-		return refusal.New(refusal.BadRequest, refusal.NotRun, "the body is not a chat completion with model and messages", "send JSON as the published interface describes")
+	var body chatBody
+	if err := json.Unmarshal(q.body, &body); err != nil || body.Model == "" || len(body.Messages) == 0 {
+		return refusal.New(refusal.BadRequest, refusal.NotRun, "the body is not a chat completion with model and messages", "send JSON as specified by the public API")
 	}
-	name, actionName, _ := strings.Cut(c.Model, "/")
+	name, actionName, _ := strings.Cut(body.Model, "/")
 	service, ok := doc.Inventory().Service(name)
 	if !ok || service.Kind() != inventory.Model {
 		return refusal.New(refusal.UnknownName, refusal.NotRun, "no model service "+strconv.Quote(name), "name a service of the inventory as model")
@@ -172,19 +172,20 @@
 			return refusal.New(refusal.UnknownName, refusal.NotRun, "service "+name+" has no action "+strconv.Quote(actionName), "name an action of the inventory")
 		}
 	}
-	q.prefixKey, q.prefixTokens = prefixOf(c)
+	q.prefixKey, q.prefixTokens = prefixOf(body)
 	q.promptTokens = max(len(q.body)/bytesPerToken, 1)
 	return nil
 }
 
-// prefixOf takes a leading system message as the prefix, since those are what
-// prompts share; without one, the beginning of the first message.
-func prefixOf(c chat) (key uint64, tokens int) {
-	shared := c.Messages[0].Content
-	if c.Messages[0].Role != "system" {
-		shared = shared[:min(len(shared), prefixBytes)]
+// prefixOf returns the hash and the estimated length of the prompt's prefix: a
+// leading system message, because prompts share those, or else the first bytes of
+// the first message.
+func prefixOf(body chatBody) (key uint64, tokens int) {
+	prefix := body.Messages[0].Content
+	if body.Messages[0].Role != "system" {
+		prefix = prefix[:min(len(prefix), prefixBytes)]
 	}
-	return xxhash.Sum64(shared), len(shared) / bytesPerToken
+	return xxhash.Sum64(prefix), len(prefix) / bytesPerToken
 }
 
 func (q *Request) readWorkspace(r *http.Request, doc document.Document) *refusal.Refusal {
@@ -210,84 +211,84 @@
 			return refusal.New(refusal.UnknownName, refusal.NotRun, "no tier "+strconv.Quote(given), "name one of "+strings.Join(doc.Rules().Tiers(), ", "))
 		}
 		if tier < rule.Tier() {
-			return refusal.New(refusal.BadRequest, refusal.NotRun, "tier "+given+" is higher than the rules give "+q.action.Route(), "leave "+HeaderTier+" out or name a lower tier")
+			return refusal.New(refusal.BadRequest, refusal.NotRun, "tier "+given+" is higher than the rules allow for "+q.action.Route(), "omit "+HeaderTier+" or name a lower tier")
 		}
 		q.tier = tier
 	}
 	if given := r.Header.Get(HeaderDeadline); given != "" {
-		d, err := time.ParseDuration(given)
-		if err != nil || d <= 0 || d > longestDeadline {
-			return refusal.New(refusal.BadRequest, refusal.NotRun, HeaderDeadline+" is not a duration up to "+longestDeadline.String(), `write one such as "20s"`)
+		deadline, err := time.ParseDuration(given)
+		if err != nil || deadline <= 0 || deadline > maxDeadline {
+			return refusal.New(refusal.BadRequest, refusal.NotRun, HeaderDeadline+" is not a positive duration of at most "+maxDeadline.String(), `write one such as "20s"`)
 		}
-		q.deadline = q.arrived.Add(d)
+		q.deadline = q.arrived.Add(deadline)
 	}
 	if rule.KeyRequired() && q.key == "" {
-		return refusal.New(refusal.KeyRequired, refusal.NotRun, q.action.Route()+" needs an "+HeaderKey, "send one that names the action, the same at each try")
+		return refusal.New(refusal.KeyRequired, refusal.NotRun, q.action.Route()+" requires an "+HeaderKey, "send a key that identifies the action, and the same one at each retry")
 	}
 	return nil
 }
 
 func (q *Request) readKey(*http.Request, document.Document) *refusal.Refusal {
 	printable := func(c rune) bool { return c > ' ' && c < 0x7f }
-	if len(q.key) > maxKey || strings.ContainsFunc(q.key, func(c rune) bool { return !printable(c) }) {
-		return refusal.New(refusal.BadRequest, refusal.NotRun, HeaderKey+" is over 255 characters or not plain ASCII", "send a shorter, plain one")
+	if len(q.key) > maxKeyBytes || strings.ContainsFunc(q.key, func(c rune) bool { return !printable(c) }) {
+		return refusal.New(refusal.BadRequest, refusal.NotRun, HeaderKey+" is longer than 255 characters or contains characters other than visible ASCII", "send a shorter key of visible ASCII characters")
 	}
 	return nil
 }
 
-// ID returns the request's id, unique in the fleet.
+// ID returns the request's id, which is unique in the fleet.
 func (q *Request) ID() string { return q.id }
 
-// Workspace returns who sent it.
+// Workspace returns the workspace that sent the request.
 func (q *Request) Workspace() string { return q.workspace }
 
-// Large tells whether the workspace brings much of the traffic.
+// Large reports whether the workspace is a large one.
 func (q *Request) Large() bool { return q.large }
 
-// Service returns the service asked for.
+// Service returns the requested service.
 func (q *Request) Service() inventory.Service { return q.service }
 
-// Action returns the action asked for.
+// Action returns the requested action.
 func (q *Request) Action() inventory.Action { return q.action }
 
-// Tier returns its tier, 0 being the highest.
+// Tier returns the request's tier, 0 being the highest.
 func (q *Request) Tier() int { return q.tier }
 
-// Arrived returns when it arrived.
+// Arrived returns the time of arrival.
 func (q *Request) Arrived() time.Time { return q.arrived }
 
-// Deadline returns until when the answer is in time.
+// Deadline returns the time by which the request must be answered.
 func (q *Request) Deadline() time.Time { return q.deadline }
 
-// RepeatSafe tells whether a lost run may be run again.
+// RepeatSafe reports whether the request may run again if its outcome is unknown.
 func (q *Request) RepeatSafe() bool { return q.repeatSafe }
 
-// Keyed tells whether the request is a non-idempotent action with a key, which
-// is claimed before it is dispatched.
+// Keyed reports whether the request is a non-idempotent action with a key. Its key
+// is claimed before the request is dispatched.
 func (q *Request) Keyed() bool { return q.key != "" && !q.repeatSafe }
 
-// ClaimKey returns the name of the action across resends.
+// ClaimKey returns the key of the claim, which is the same for every retry.
 func (q *Request) ClaimKey() string { return q.workspace + "/" + q.action.Route() + "/" + q.key }
 
-// Fingerprint identifies the body and action.
+// Fingerprint returns a hash of the body and action.
 func (q *Request) Fingerprint() uint64 { return q.fingerprint }
 
-// PrefixKey identifies the prompt's prefix.
+// PrefixKey returns a hash of the prompt's prefix.
 func (q *Request) PrefixKey() uint64 { return q.prefixKey }
 
-// PrefixTokens returns the prefix's estimated length.
+// PrefixTokens returns the estimated length of the prompt's prefix in tokens.
 func (q *Request) PrefixTokens() int { return q.prefixTokens }
 
-// PromptTokens returns the prompt's estimated length.
+// PromptTokens returns the estimated length of the prompt in tokens.
 func (q *Request) PromptTokens() int { return q.promptTokens }
 
-// Body returns the body.
+// Body returns the request body.
 func (q *Request) Body() []byte { return q.body }
 
-// Path returns the path and query as the upstream shall see them.
+// Path returns the path and query to send to the upstream.
 func (q *Request) Path() string { return q.path }
 
-// Method returns the method as the upstream shall see it.
+// Method returns the method to send to the upstream.
 func (q *Request) Method() string {
 	if q.service.Kind() == inventory.Model {
 		return http.MethodPost
@@ -295,17 +296,18 @@
 	return q.action.Method()
 }
 
-// dropped are fields that are ours, or belong to the caller's connection.
-var dropped = []string{
+// notForwarded lists the header fields that are not forwarded: those of the public API
+// and those that belong to the caller's connection.
+var notForwarded = []string{
 	HeaderWorkspace, HeaderAction, HeaderTier, HeaderDeadline, HeaderRequestID, "Authorization", "Connection",
 	"Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Accept-Encoding",
 }
 
-// Headers returns the fields that the upstream shall see, in order of name.
+// Headers returns the header fields to send to the upstream, in order of name.
 func (q *Request) Headers() []Field {
 	var out []Field
 	for name, values := range q.headers {
-		if slices.Contains(dropped, name) {
+		if slices.Contains(notForwarded, name) {
 			continue
 		}
 		for _, value := range values {
--- a/internal/caller/request/request_test.go
+++ b/internal/caller/request/request_test.go
@@ -33,7 +33,7 @@
 	UpstreamPath string            `json:"upstream-path"`
 }
 
-func cairo(t require.TestingT) document.Document {
+func cairoDocument(t require.TestingT) document.Document {
 	doc, findings := document.Build(examples.CairoInventory, examples.CairoRules)
 	require.Empty(t, findings)
 	return doc
@@ -44,46 +44,46 @@
 	require.NoError(t, err)
 	var cases []requestCase
 	require.NoError(t, json.Unmarshal(raw, &cases))
-	doc := cairo(t)
-	for _, c := range cases {
-		t.Run(c.Name, func(t *testing.T) {
-			r := httptest.NewRequest(c.Method, c.Path, strings.NewReader(c.Body))
-			for name, value := range c.Headers {
+	doc := cairoDocument(t)
+	for _, tc := range cases {
+		t.Run(tc.Name, func(t *testing.T) {
+			r := httptest.NewRequest(tc.Method, tc.Path, strings.NewReader(tc.Body))
+			for name, value := range tc.Headers {
 				r.Header.Set(name, value)
 			}
 			q, refused := request.Read(now, "id", r, doc)
-			if c.Refusal != "" {
+			if tc.Refusal != "" {
 				require.NotNil(t, refused)
-				require.Equal(t, c.Refusal, refused.Kind())
+				require.Equal(t, tc.Refusal, refused.Kind())
 				require.Equal(t, refusal.NotRun, refused.Ran())
 				return
 			}
 			require.Nil(t, refused)
-			require.Equal(t, c.Action, q.Action().Route())
-			require.Equal(t, c.Tier, q.Tier())
-			require.Equal(t, c.Keyed, q.Keyed())
-			if c.UpstreamPath != "" {
-				require.Equal(t, c.UpstreamPath, q.Path())
+			require.Equal(t, tc.Action, q.Action().Route())
+			require.Equal(t, tc.Tier, q.Tier())
+			require.Equal(t, tc.Keyed, q.Keyed())
+			if tc.UpstreamPath != "" {
+				require.Equal(t, tc.UpstreamPath, q.Path())
 			}
 		})
 	}
 }
 
-func TestBodyOverTheBoundIsRefused(t *testing.T) {
+func TestTooLargeBodyIsRefused(t *testing.T) {
 	r := httptest.NewRequest(http.MethodPost, request.ChatPath, bytes.NewReader(make([]byte, request.MaxBody+1)))
-	_, refused := request.Read(now, "id", r, cairo(t))
+	_, refused := request.Read(now, "id", r, cairoDocument(t))
 	require.Equal(t, refusal.TooLarge, refused.Kind())
 	require.Equal(t, http.StatusRequestEntityTooLarge, refused.Status())
 }
 
-// The same body sent again is the same request, another body is not, and the
-// same body for another action is not either.
+// Equal bodies have the same fingerprint; another body or another action gives
+// another fingerprint.
 func TestFingerprint(t *testing.T) {
 	read := func(model, content string) uint64 {
 		body := `{"model":"` + model + `","messages":[{"role":"user","content":"` + content + `"}]}`
 		r := httptest.NewRequest(http.MethodPost, request.ChatPath, strings.NewReader(body))
 		r.Header.Set(request.HeaderWorkspace, "front-desk")
-		q, refused := request.Read(now, "id", r, cairo(t))
+		q, refused := request.Read(now, "id", r, cairoDocument(t))
 		require.Nil(t, refused)
 		return q.Fingerprint()
 	}
@@ -93,7 +93,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	doc := cairo(f)
+	doc := cairoDocument(f)
 	f.Add("POST", "/v1/chat/completions", "front-desk", "20s", `{"model":"tutor","messages":[{"role":"system","content":"x"}]}`)
 	f.Add("GET", "/booking/schedules/a", "front-desk", "", "")
 	f.Fuzz(func(t *testing.T, method, path, workspace, deadline, body string) {
