--- a/internal/caller/refusal/refusal.go
+++ b/internal/caller/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal is what a caller is told when there is no answer: which
-// kind of refusal it is, whether the request ran, and what to do about it.
+// Package refusal defines the error responses to callers: the kind of refusal,
+// whether the request may have run, and what the caller can do.
 package refusal
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Kind names a refusal. Kinds are part of the callers' interface.
+// Kind is the kind of a refusal. Kinds are part of the public API.
 type Kind string
 
-// The kinds.
+// Kinds of refusals.
 const (
 	BadRequest    Kind = "bad-request"
 	UnknownName   Kind = "unknown-name"
@@ -32,16 +32,16 @@
 	Unfinished    Kind = "unfinished"
 )
 
-// Ran tells whether the request was run.
+// Ran states whether the request was run.
 type Ran string
 
-// The two answers. NotRun is only said on proof.
+// Values of Ran. NotRun is used only if it is certain that the request did not run.
 const (
 	NotRun     Ran = "not-run"
 	MayHaveRun Ran = "may-have-run"
 )
 
-// Refusal is one refusal, ready to be written.
+// Refusal is an error response to a caller. It is immutable.
 type Refusal struct {
 	kind       Kind
 	ran        Ran
@@ -50,24 +50,23 @@
 	retryAfter time.Duration
 }
 
-// New returns a refusal. Message says what happened; remedy says what the
-// caller can do.
+// New returns a refusal. message says what happened, remedy what the caller can do.
 func New(kind Kind, ran Ran, message, remedy string) *Refusal {
 	return &Refusal{kind: kind, ran: ran, message: message, remedy: remedy}
 }
 
-// RetryAfter returns the same refusal with the time after which another try
-// is worth making.
+// RetryAfter returns a copy of the refusal with the time after which a retry is
+// worthwhile.
 func (r *Refusal) RetryAfter(d time.Duration) *Refusal {
 	copied := *r
 	copied.retryAfter = d
 	return &copied
 }
 
-// Kind returns the kind.
+// Kind returns the kind of the refusal.
 func (r *Refusal) Kind() Kind { return r.kind }
 
-// Ran tells whether the request was run.
+// Ran states whether the request was run.
 func (r *Refusal) Ran() Ran { return r.ran }
 
 // Error implements error.
@@ -75,8 +74,8 @@
 	return string(r.kind) + " (" + string(r.ran) + "): " + r.message + "; " + r.remedy
 }
 
-// status maps each kind to its HTTP status.
-var status = map[Kind]int{
+// statusByKind maps each kind to its HTTP status.
+var statusByKind = map[Kind]int{
 	BadRequest:    http.StatusBadRequest,
 	UnknownName:   http.StatusNotFound,
 	KeyRequired:   http.StatusBadRequest,
@@ -96,7 +95,7 @@
 
 // Status returns the HTTP status.
 func (r *Refusal) Status() int {
-	if code, ok := status[r.kind]; ok {
+	if code, ok := statusByKind[r.kind]; ok {
 		return code
 	}
 	return http.StatusInternalServerError
@@ -106,7 +105,8 @@
 	Error errorJSON `json:"error"`
 }
 
-// errorJSON has the fields that OpenAI's clients read, and ours.
+// errorJSON has the fields that OpenAI clients read, and additional fields of this
+// API.
 type errorJSON struct {
 	Message      string `json:"message"`
 	Type         Kind   `json:"type"`
@@ -129,7 +129,7 @@
 	return raw
 }
 
-// Write answers the caller at once: a refusal is never held back.
+// Write writes the refusal as the response to the caller, without delay.
 func (r *Refusal) Write(w http.ResponseWriter, requestID string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Ran", string(r.ran))
