--- a/schema/names.go
+++ b/schema/names.go
@@ -5,40 +5,41 @@
 	"strings"
 )
 
-// wildcard stands for any property's name in a place.
+// wildcard matches any property name in a path pattern.
 const wildcard = "*"
 
-// nameFinder finds the places of properties whose names are wrong. The schema
-// library goes on using the location that it put into such an error, so that it
-// names whichever property was checked later, in the random order of a map.
-// The place in the schema stays right, and the document tells the rest.
+// nameFinder finds the paths of properties with invalid names. The schema library
+// reuses the slice of the location that it stores in such an error, so the location
+// becomes that of whichever property is validated later, in the random order of a
+// map. The location in the schema remains correct, and the path is found by
+// searching the document for the property.
 type nameFinder struct {
 	document any
-	told     map[string]int
+	returned map[string]int
 }
 
 func newNameFinder(document any) *nameFinder {
-	return &nameFinder{document: document, told: make(map[string]int)}
+	return &nameFinder{document: document, returned: make(map[string]int)}
 }
 
-// find returns the place of a property with the name in an object that the
-// part of the schema describes. If several objects have one, each call for
-// them returns another.
+// find returns the path of a property called name in an object described by the
+// subschema at schemaURL. If several objects have one, each call returns the path of
+// the next.
 func (f *nameFinder) find(schemaURL, name string) string {
-	pattern := placePattern(schemaURL)
-	places := matches(f.document, pattern, "", name)
-	if len(places) == 0 {
+	pattern := pathPattern(schemaURL)
+	paths := matchingPaths(f.document, pattern, "", name)
+	if len(paths) == 0 {
 		return "/" + strings.Join(append(pattern, name), "/")
 	}
-	asked := schemaURL + " " + name
-	place := places[f.told[asked]%len(places)]
-	f.told[asked]++
-	return place
+	query := schemaURL + " " + name
+	path := paths[f.returned[query]%len(paths)]
+	f.returned[query]++
+	return path
 }
 
-// placePattern returns the property names that lead to what a part of the
-// schema describes.
-func placePattern(schemaURL string) []string {
+// pathPattern returns the property names on the path to the objects that a
+// subschema describes.
+func pathPattern(schemaURL string) []string {
 	_, fragment, _ := strings.Cut(schemaURL, "#")
 	steps := strings.Split(strings.Trim(fragment, "/"), "/")
 	var pattern []string
@@ -56,9 +57,9 @@
 	return pattern
 }
 
-// matches returns, in order, the places of the property in all objects that the
-// pattern leads to.
-func matches(value any, pattern []string, at, name string) []string {
+// matchingPaths returns, in order, the paths of the property in all objects to which the
+// pattern leads.
+func matchingPaths(value any, pattern []string, prefix, name string) []string {
 	object, ok := value.(map[string]any)
 	if !ok {
 		return nil
@@ -67,12 +68,12 @@
 		if _, has := object[name]; !has {
 			return nil
 		}
-		return []string{at + "/" + name}
+		return []string{prefix + "/" + name}
 	}
 	var found []string
-	for key, inner := range object {
+	for key, member := range object {
 		if pattern[0] == wildcard || pattern[0] == key {
-			found = append(found, matches(inner, pattern[1:], at+"/"+key, name)...)
+			found = append(found, matchingPaths(member, pattern[1:], prefix+"/"+key, name)...)
 		}
 	}
 	slices.Sort(found)
--- a/schema/schema.go
+++ b/schema/schema.go
@@ -1,5 +1,5 @@
-// Package schema holds the published JSON Schemas of everything operators
-// write, and checks a document against one of them.
+// Package schema contains the published JSON Schemas of the files that operators
+// write, and validates documents against them.
 package schema
 
 import (
@@ -20,10 +20,10 @@
 //go:embed *.schema.json
 var files embed.FS
 
-// Kind names one of the published schemas.
+// Kind identifies one of the published schemas.
 type Kind string
 
-// The kinds of document that operators write.
+// Kinds of documents that operators write.
 const (
 	Inventory     Kind = "inventory"
 	Rules         Kind = "rules"
@@ -31,7 +31,7 @@
 	AgentSettings Kind = "agent-settings"
 )
 
-// Finding is one fault of a document.
+// Finding is one fault in a document.
 type Finding struct {
 	path   string
 	rule   string
@@ -43,13 +43,13 @@
 	return Finding{path: path, rule: rule, remedy: remedy}
 }
 
-// Path returns where in the document the fault is, as a JSON pointer.
+// Path returns the location of the fault in the document as a JSON pointer.
 func (f Finding) Path() string { return f.path }
 
-// Rule returns the rule that is broken.
+// Rule returns the description of the violated rule.
 func (f Finding) Rule() string { return f.rule }
 
-// Remedy returns what to do about it.
+// Remedy returns how to correct the fault.
 func (f Finding) Remedy() string { return f.remedy }
 
 // String returns the finding on one line.
@@ -62,34 +62,35 @@
 	compiled  = make(map[Kind]*jsonschema.Schema)
 )
 
-// Check returns every structural fault of document, in order of path.
-func Check(of Kind, document []byte) []Finding {
+// Check validates document against a schema and returns all findings, in order of
+// path.
+func Check(schemaKind Kind, document []byte) []Finding {
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(document))
 	if err != nil {
 		return []Finding{NewFinding("/", "not JSON: "+err.Error(), "correct the syntax at the offset named")}
 	}
-	checker, err := compile(of)
+	validator, err := compile(schemaKind)
 	if err != nil {
-		return []Finding{NewFinding("/", "schema "+string(of)+" does not compile: "+err.Error(), "report this as a fault of persimmonridge")}
+		return []Finding{NewFinding("/", "schema "+string(schemaKind)+" does not compile: "+err.Error(), "report this as a bug in persimmonridge")}
 	}
-	err = checker.Validate(value)
+	err = validator.Validate(value)
 	if err == nil {
 		return nil
 	}
 	var failure *jsonschema.ValidationError
 	if !errors.As(err, &failure) {
-		return []Finding{NewFinding("/", err.Error(), "see schema/"+string(of)+".schema.json")}
+		return []Finding{NewFinding("/", err.Error(), "see schema/"+string(schemaKind)+".schema.json")}
 	}
-	return flatten(of, value, failure)
+	return leafFindings(schemaKind, value, failure)
 }
 
-func compile(of Kind) (*jsonschema.Schema, error) {
+func compile(schemaKind Kind) (*jsonschema.Schema, error) {
 	compileMu.Lock()
 	defer compileMu.Unlock()
-	if found, ok := compiled[of]; ok {
-		return found, nil
+	if cached, ok := compiled[schemaKind]; ok {
+		return cached, nil
 	}
-	name := string(of) + ".schema.json"
+	name := string(schemaKind) + ".schema.json"
 	raw, err := files.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -103,32 +104,32 @@
 	if err := compiler.AddResource(name, value); err != nil {
 		return nil, err
 	}
-	checker, err := compiler.Compile(name)
+	validator, err := compiler.Compile(name)
 	if err != nil {
 		return nil, err
 	}
-	compiled[of] = checker
-	return checker, nil
+	compiled[schemaKind] = validator
+	return validator, nil
 }
 
-// flatten turns the tree of a validation error into its leaves.
-func flatten(of Kind, document any, failure *jsonschema.ValidationError) []Finding {
+// leafFindings returns a finding for each leaf of the tree of validation errors.
+func leafFindings(schemaKind Kind, document any, failure *jsonschema.ValidationError) []Finding {
 	printer := message.NewPrinter(language.English)
-	remedy := "see schema/" + string(of) + ".schema.json"
+	remedy := "see schema/" + string(schemaKind) + ".schema.json"
 	names := newNameFinder(document)
 	var findings []Finding
-	var walk func(node *jsonschema.ValidationError, at string)
-	walk = func(node *jsonschema.ValidationError, at string) {
+	var walk func(node *jsonschema.ValidationError, namePath string)
+	walk = func(node *jsonschema.ValidationError, namePath string) {
 		path := "/" + strings.Join(node.InstanceLocation, "/")
-		if at != "" {
-			path = at
+		if namePath != "" {
+			path = namePath
 		}
-		// What is wrong with a name is told without a place of its own.
+		// The causes of a property name error have no location of their own.
 		if name, ok := node.ErrorKind.(*kind.PropertyNames); ok {
-			at = names.find(node.SchemaURL, name.Property)
+			namePath = names.find(node.SchemaURL, name.Property)
 		}
 		for _, cause := range node.Causes {
-			walk(cause, at)
+			walk(cause, namePath)
 		}
 		if len(node.Causes) > 0 {
 			return
