--- a/examples/embed.go
+++ b/examples/embed.go
@@ -1,24 +1,24 @@
-// Package examples holds the example files of both first users' sites.
+// Package examples embeds the example inventories and rules of two sites.
 package examples
 
 import _ "embed"
 
-// CairoInventory and CairoRules are those of Nile Easel Atelier.
+// CairoInventory is the inventory of the site of Nile Easel Atelier.
 //
 //go:embed cairo/inventory.json
 var CairoInventory []byte
 
-// CairoRules are the rules beside CairoInventory.
+// CairoRules are the rules for CairoInventory.
 //
 //go:embed cairo/rules.json
 var CairoRules []byte
 
-// SwedenInventory is that of Glansverket.
+// SwedenInventory is the inventory of the site of Glansverket.
 //
 //go:embed sweden/inventory.json
 var SwedenInventory []byte
 
-// SwedenRules are the rules beside SwedenInventory.
+// SwedenRules are the rules for SwedenInventory.
 //
 //go:embed sweden/rules.json
 var SwedenRules []byte
