--- a/cmd/persimmonridge/measure_patterns.go
+++ b/cmd/persimmonridge/measure_patterns.go
@@ -26,7 +26,7 @@
 		seeds = append(seeds, uint64(i+1))
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "pattern\tpolicy\tworth\tworst 2 s\tcritiques in time\tanswers in time\ttags in time\trefused\tlate\theld in vain\t")
+	fmt.Fprintln(w, "pattern\tpolicy\tworth\tworst 2 s\tcritiques in time\tanswers in time\ttags in time\trefused\tlate\twait before refusal\t")
 	for _, p := range pattern.Patterns {
 		if c.Pattern != "" && c.Pattern != p.Name {
 			continue
