--- a/internal/version/evidence/evidence_test.go
+++ b/internal/version/evidence/evidence_test.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// A brake must not trip in a million runs of a version that fails one run in a
+// A circuit breaker must not trip in a million runs of a version that fails one run in a
 // hundred, and must trip within ten runs of a version that always fails.
 func TestBrake(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/version/evidence/watch.go
+++ b/internal/version/evidence/watch.go
@@ -16,8 +16,8 @@
 	// without the old version's counts: less than one false alarm in twenty
 	// thousand runs of a version that fails one run in twenty.
 	brakeThreshold = 10
-	// toleratedRate and brakeRate are the failure rates of a brake's two
-	// hypotheses.
+	// toleratedRate and brakeRate are the failure rates of the two hypotheses of a
+	// circuit breaker.
 	toleratedRate = 0.05
 	brakeRate     = 0.3
 	// allRoutes is the key of the score over all routes together, where a version
@@ -32,7 +32,7 @@
 	scores map[string]float64
 }
 
-// NewBrake returns a brake without runs.
+// NewBrake returns a circuit breaker without runs.
 func NewBrake() *Brake { return &Brake{scores: make(map[string]float64)} }
 
 // Observe takes one run into account and reports whether the version must be
--- a/internal/version/move/move.go
+++ b/internal/version/move/move.go
@@ -1,6 +1,6 @@
 // Package move decides how a service's traffic moves from one version to another:
-// shares are planned back from the deadline, a step needs evidence, and a bad
-// version is taken back. The package does no I/O and reads no clock.
+// shares are planned back from the deadline, a step needs evidence, and the move to
+// a bad version is rolled back. The package does no I/O and reads no clock.
 package move
 
 import (
@@ -139,7 +139,7 @@
 	return Test().Judge(o.All.With(m.From(), o.Stage, m.To()), m.From(), m.To()).Verdict()
 }
 
-// Stopped returns the state of a move that the brake of a single entry stopped. Any
+// Stopped returns the state of a move that the circuit breaker of a single entry stopped. Any
 // entry may record it, not only the one that decides on moves: otherwise that one
 // would see no more failures and take the version for healthy.
 func Stopped(now time.Time, m rules.Move, state document.MoveState, who string) document.MoveState {
