--- a/cmd/persimmonridge/measure_patterns.go
+++ b/cmd/persimmonridge/measure_patterns.go
@@ -9,14 +9,14 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/pattern"
 )
 
-// measurePatterns plays load patterns against emulated engines.
-type measurePatterns struct {
+// patternsCommand runs load patterns against emulated engines.
+type patternsCommand struct {
 	Seeds   int    `default:"3" help:"Number of seeds; shares are means over them."`
-	Pattern string `help:"Only this pattern."`
+	Pattern string `help:"Run only this pattern."`
 }
 
 // Run implements kong's command.
-func (c *measurePatterns) Run() error {
+func (c *patternsCommand) Run() error {
 	policies := []struct {
 		name   string
 		policy pattern.NewPolicy
@@ -26,7 +26,7 @@
 		seeds = append(seeds, uint64(i+1))
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "pattern\tpolicy\tworth\tworst 2 s\tcritiques in time\tanswers in time\ttags in time\trefused\tlate\theld in vain\t")
+	fmt.Fprintln(w, "pattern\tpolicy\tworth\tworst 2 s\tcritiques in time\tanswers in time\ttags in time\trefused\tlate\twait before refusal\t")
 	for _, p := range pattern.Patterns {
 		if c.Pattern != "" && c.Pattern != p.Name {
 			continue
