--- a/internal/proof/bubble/bubble.go
+++ b/internal/proof/bubble/bubble.go
@@ -1,4 +1,4 @@
-// Package bubble runs a test of whole processes in fake time.
+// Package bubble runs tests in synctest bubbles, with fake time.
 package bubble
 
 import (
@@ -10,41 +10,41 @@
 )
 
 const (
-	// stuckAfter is how much real time a test may take before its stacks are kept;
-	// the longest take a fifth of it.
-	stuckAfter = 3 * time.Minute
-	// stacksMost bounds what is kept of them.
-	stacksMost = 64 << 20
+	// stuckTimeout is the real time after which a running test is considered stuck
+	// and goroutine stacks are written; the longest tests take a fifth of it.
+	stuckTimeout = 3 * time.Minute
+	// maxStackBytes bounds the size of the stacks written.
+	maxStackBytes = 64 << 20
 )
 
-// Pass lets fake time pass in a bubble; nobody waits for it.
+// Pass sleeps for d, which takes no real time in a bubble.
 func Pass(d time.Duration) { time.Sleep(d) }
 
-// Run runs f in a synctest bubble. The multiplexer keeps used timers in a
-// sync.Pool, and a timer of one bubble must not be used in another; a pool is
-// empty after two collections.
+// Run runs f in a synctest bubble. It runs two garbage collections first to empty
+// all sync.Pools: the multiplexer pools timers, and a timer of one bubble must not
+// be used in another.
 func Run(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	runtime.GC()
 	runtime.GC()
-	stuck := time.AfterFunc(stuckAfter, func() { keepStacks(t) })
-	defer stuck.Stop()
+	timer := time.AfterFunc(stuckTimeout, func() { writeStacks(t) })
+	defer timer.Stop()
 	synctest.Test(t, f)
 }
 
-// keepStacks writes the stacks of all goroutines to a file: fake time stands still
-// while one of them runs or waits for anything outside of the bubble, and only the
-// stacks tell which.
-func keepStacks(t *testing.T) {
+// writeStacks writes the stacks of all goroutines to a file. Fake time does not
+// advance while a goroutine runs or waits for something outside of the bubble; the
+// stacks show which one does.
+func writeStacks(t *testing.T) {
 	file, err := os.CreateTemp("", "stuck-*.txt")
 	if err != nil {
-		t.Logf("stacks not kept: %v", err)
+		t.Logf("failed to create a file for goroutine stacks: %v", err)
 		return
 	}
-	stacks := make([]byte, stacksMost)
+	stacks := make([]byte, maxStackBytes)
 	_, err = file.Write(stacks[:runtime.Stack(stacks, true)])
 	if closeErr := file.Close(); err == nil {
 		err = closeErr
 	}
-	t.Logf("%s has run for %s; all stacks are in %s (write error: %v)", t.Name(), stuckAfter, file.Name(), err)
+	t.Logf("%s has run for %s; goroutine stacks are in %s (write error: %v)", t.Name(), stuckTimeout, file.Name(), err)
 }
--- a/internal/proof/invariant/invariant.go
+++ b/internal/proof/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant asserts, inside the running program, what must always
-// hold. A breach never stops the program: it is counted, logged with the
-// request it concerns and, in tests, handed to a function that ends the run.
+// Package invariant checks invariants in the running program. A breach does not
+// stop the program: it is counted, logged with the request concerned and passed to
+// an optional callback, with which tests can end the run.
 package invariant
 
 import (
@@ -25,7 +25,7 @@
 	OneClaim          Name = "one-claim"
 )
 
-// Breach is one observed violation.
+// Breach is one violation of an invariant.
 type Breach struct {
 	name      Name
 	requestID string
@@ -35,10 +35,10 @@
 // Name returns the invariant that was violated.
 func (b Breach) Name() Name { return b.name }
 
-// RequestID returns the request concerned; it may be empty.
+// RequestID returns the ID of the request concerned; it may be empty.
 func (b Breach) RequestID() string { return b.requestID }
 
-// Detail returns what was seen.
+// Detail describes what was observed.
 func (b Breach) Detail() string { return b.detail }
 
 // Recorder counts breaches. The zero value is not usable; see New.
@@ -51,13 +51,13 @@
 	first  []Breach
 }
 
-// maxKept bounds the breaches kept whole; all of them are counted.
-const maxKept = 16
+// maxRecorded bounds the breaches that are kept in full; all are counted.
+const maxRecorded = 16
 
-// Option changes how a Recorder reacts.
+// Option configures a Recorder.
 type Option func(*Recorder)
 
-// OnBreach calls f for every breach, outside the recorder's lock.
+// OnBreach calls f for every breach, without holding the recorder's lock.
 func OnBreach(f func(Breach)) Option {
 	return func(r *Recorder) { r.onBreach = f }
 }
@@ -79,7 +79,7 @@
 	breach := Breach{name: name, requestID: requestID, detail: detail}
 	r.mu.Lock()
 	r.counts[name]++
-	if len(r.first) < maxKept {
+	if len(r.first) < maxRecorded {
 		r.first = append(r.first, breach)
 	}
 	r.mu.Unlock()
@@ -101,7 +101,7 @@
 	return total
 }
 
-// First returns the earliest breaches, at most 16.
+// First returns the first breaches, at most 16.
 func (r *Recorder) First() []Breach {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proof/seed/seed.go
+++ b/internal/proof/seed/seed.go
@@ -1,15 +1,14 @@
-// Package seed gives property tests that import it for its effect a fixed
-// seed, so that CI comes to the same verdict every time. The flag -rapid.seed
-// overrides it.
+// Package seed sets a fixed seed for property tests that import it for its side
+// effect, so that CI results are reproducible. The flag -rapid.seed overrides it.
 package seed
 
 import "flag"
 
-// fixed is the seed of property tests unless another is asked for.
-const fixed = "20261203"
+// defaultSeed is the seed of property tests without the flag.
+const defaultSeed = "20261203"
 
 func init() {
-	if found := flag.Lookup("rapid.seed"); found != nil {
-		_ = found.Value.Set(fixed)
+	if rapidSeed := flag.Lookup("rapid.seed"); rapidSeed != nil {
+		_ = rapidSeed.Value.Set(defaultSeed)
 	}
 }
