--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -1,6 +1,6 @@
-// Package kv is a stand-in of the platform's key-value service for tests and
-// trials: the subset of Consul's published KV and session endpoints that the
-// system uses, with outages, slowness and lost answers on demand.
+// Package kv is a stand-in for the platform's key-value service, for tests and
+// trials. It implements the subset of Consul's KV and session HTTP API that the
+// system uses, and can inject outages, delays and lost answers.
 package kv
 
 import (
@@ -16,17 +16,17 @@
 	"time"
 )
 
-// Faults is what goes wrong with the service.
+// Faults are the faults to inject.
 type Faults struct {
-	// Outage answers nothing but 503.
+	// Outage answers every call with status 503.
 	Outage bool `json:"outage"`
-	// SlowMS delays each call by that many milliseconds.
+	// SlowMS is the delay of each call in milliseconds.
 	SlowMS int `json:"slow-ms"`
-	// LoseAnswers is the share of writes that take effect unanswered.
+	// LoseAnswers is the share of writes that take effect without an answer.
 	LoseAnswers float64 `json:"lose-answers"`
 }
 
-// Counts is the number of calls the service has had.
+// Counts are the numbers of calls by kind. Watches are also counted as reads.
 type Counts struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
@@ -44,7 +44,7 @@
 	expires time.Time
 }
 
-// Service is the stand-in. Use Handler to serve it.
+// Service is the stand-in. Handler returns its HTTP API.
 type Service struct {
 	now func() time.Time
 
@@ -58,7 +58,7 @@
 	changed  chan struct{}
 }
 
-// New returns an empty service; seed decides which answers are lost.
+// New returns an empty service; seed determines which answers are lost.
 func New(seed uint64, now func() time.Time) *Service {
 	return &Service{
 		now:      now,
@@ -74,25 +74,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
-	s.wake()
+	s.notifyWatches()
 }
 
-// Counts returns the calls so far.
+// Counts returns the numbers of calls so far.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the HTTP API.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/kv/{key...}", s.faulty(s.get))
-	mux.HandleFunc("PUT /v1/kv/{key...}", s.faulty(s.put))
-	mux.HandleFunc("DELETE /v1/kv/{key...}", s.faulty(s.remove))
-	mux.HandleFunc("PUT /v1/session/create", s.faulty(s.createSession))
-	mux.HandleFunc("PUT /v1/session/renew/{id}", s.faulty(s.renewSession))
-	mux.HandleFunc("PUT /v1/session/destroy/{id}", s.faulty(s.destroySession))
+	mux.HandleFunc("GET /v1/kv/{key...}", s.withFaults(s.get))
+	mux.HandleFunc("PUT /v1/kv/{key...}", s.withFaults(s.put))
+	mux.HandleFunc("DELETE /v1/kv/{key...}", s.withFaults(s.remove))
+	mux.HandleFunc("PUT /v1/session/create", s.withFaults(s.createSession))
+	mux.HandleFunc("PUT /v1/session/renew/{id}", s.withFaults(s.renewSession))
+	mux.HandleFunc("PUT /v1/session/destroy/{id}", s.withFaults(s.destroySession))
 	mux.HandleFunc("PUT /stand-in/faults", s.putFaults)
 	mux.HandleFunc("GET /stand-in/counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) })
 	return mux
@@ -101,16 +101,16 @@
 func (s *Service) putFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
-		http.Error(w, "faults are a JSON object with outage, slow-ms and lose-answers", http.StatusBadRequest)
+		http.Error(w, "faults must be a JSON object with outage, slow-ms and lose-answers", http.StatusBadRequest)
 		return
 	}
 	s.SetFaults(faults)
 }
 
-// faulty applies the faults around a call.
-func (s *Service) faulty(call http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps a handler with the injection of faults.
+func (s *Service) withFaults(call http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		faults, lose := s.draw(r.Method)
+		faults, lose := s.drawFaults(r.Method)
 		if faults.SlowMS > 0 {
 			select {
 			case <-time.After(time.Duration(faults.SlowMS) * time.Millisecond):
@@ -126,12 +126,12 @@
 			call(w, r)
 			return
 		}
-		call(&discard{header: make(http.Header)}, r)
+		call(&discardWriter{header: make(http.Header)}, r)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (s *Service) draw(method string) (Faults, bool) {
+func (s *Service) drawFaults(method string) (Faults, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if method == http.MethodGet {
@@ -143,11 +143,11 @@
 	return s.faults, lose
 }
 
-type discard struct{ header http.Header }
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
 
 type entryJSON struct {
 	Key         string
@@ -160,10 +160,10 @@
 	key := r.PathValue("key")
 	query := r.URL.Query()
 	if after, err := strconv.ParseUint(query.Get("index"), 10, 64); err == nil {
-		s.block(r, key, after, query.Get("wait"))
+		s.waitForChange(r, key, after, query.Get("wait"))
 	}
 	s.mu.Lock()
-	s.expire()
+	s.expireSessions()
 	var found []entryJSON
 	for name, p := range s.pairs {
 		if name == key || query.Has("recurse") && strings.HasPrefix(name, key) {
@@ -185,8 +185,9 @@
 	}
 }
 
-// block waits until the key's index differs from after.
-func (s *Service) block(r *http.Request, key string, after uint64, wait string) {
+// waitForChange blocks until the index of the key differs from after, the wait time
+// is over, an outage starts or the request is canceled.
+func (s *Service) waitForChange(r *http.Request, key string, after uint64, wait string) {
 	limit, err := time.ParseDuration(wait)
 	if err != nil {
 		limit = time.Minute
@@ -218,24 +219,25 @@
 	}
 	key, query := r.PathValue("key"), r.URL.Query()
 	s.mu.Lock()
-	s.expire()
+	s.expireSessions()
 	ok := s.write(key, query.Get("cas"), query.Get("acquire"), query.Get("release"), value)
 	s.mu.Unlock()
 	writeJSON(w, ok)
 }
 
-// write applies one put; the caller holds the lock.
+// write applies one put and reports whether its conditions were met. The caller
+// holds the lock.
 func (s *Service) write(key, cas, acquire, release string, value []byte) bool {
-	known, exists := s.pairs[key]
+	existing, exists := s.pairs[key]
 	if cas != "" {
 		index, err := strconv.ParseUint(cas, 10, 64)
-		if err != nil || exists && index != known.index || !exists && index != 0 {
+		if err != nil || exists && index != existing.index || !exists && index != 0 {
 			return false
 		}
 	}
-	holder := known.session
+	holder := existing.session
 	if acquire != "" {
-		if _, live := s.sessions[acquire]; !live || holder != "" && holder != acquire {
+		if _, alive := s.sessions[acquire]; !alive || holder != "" && holder != acquire {
 			return false
 		}
 		holder = acquire
@@ -248,19 +250,19 @@
 	}
 	s.index++
 	s.pairs[key] = pair{value: value, index: s.index, session: holder}
-	s.wake()
+	s.notifyWatches()
 	return true
 }
 
 func (s *Service) remove(w http.ResponseWriter, r *http.Request) {
 	key, cas := r.PathValue("key"), r.URL.Query().Get("cas")
 	s.mu.Lock()
-	known, exists := s.pairs[key]
-	ok := exists && (cas == "" || cas == strconv.FormatUint(known.index, 10))
+	existing, exists := s.pairs[key]
+	ok := exists && (cas == "" || cas == strconv.FormatUint(existing.index, 10))
 	if ok {
 		delete(s.pairs, key)
 		s.index++
-		s.wake()
+		s.notifyWatches()
 	}
 	s.mu.Unlock()
 	writeJSON(w, ok)
@@ -286,11 +288,11 @@
 
 func (s *Service) renewSession(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.expire()
-	known, ok := s.sessions[r.PathValue("id")]
+	s.expireSessions()
+	existing, ok := s.sessions[r.PathValue("id")]
 	if ok {
-		known.expires = s.now().Add(known.ttl)
-		s.sessions[r.PathValue("id")] = known
+		existing.expires = s.now().Add(existing.ttl)
+		s.sessions[r.PathValue("id")] = existing
 	}
 	s.mu.Unlock()
 	if !ok {
@@ -302,36 +304,36 @@
 
 func (s *Service) destroySession(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.end(r.PathValue("id"))
+	s.endSession(r.PathValue("id"))
 	s.mu.Unlock()
 	writeJSON(w, true)
 }
 
-// expire ends sessions past their time; the caller holds the lock.
-func (s *Service) expire() {
+// expireSessions ends the sessions whose TTL is over. The caller holds the lock.
+func (s *Service) expireSessions() {
 	now := s.now()
-	for id, known := range s.sessions {
-		if now.After(known.expires) {
-			s.end(id)
+	for id, existing := range s.sessions {
+		if now.After(existing.expires) {
+			s.endSession(id)
 		}
 	}
 }
 
-// end releases all keys of a session; the caller holds the lock.
-func (s *Service) end(id string) {
+// endSession deletes a session and releases its keys. The caller holds the lock.
+func (s *Service) endSession(id string) {
 	delete(s.sessions, id)
 	for key, p := range s.pairs {
 		if p.session == id {
 			s.index++
 			p.session, p.index = "", s.index
 			s.pairs[key] = p
-			s.wake()
+			s.notifyWatches()
 		}
 	}
 }
 
-// wake tells blocked readers; the caller holds the lock.
-func (s *Service) wake() {
+// notifyWatches wakes all blocked reads. The caller holds the lock.
+func (s *Service) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
