--- a/internal/standin/network/conn.go
+++ b/internal/standin/network/conn.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// windowBytes is what one direction holds before its writer waits.
+// windowBytes is the buffer size of one direction; a writer blocks when it is full.
 const windowBytes = 256 << 10
 
 // conn is one end of a connection.
 type conn struct {
 	network *Network
-	to      string
+	address string
 	in      *pipe
 	out     *pipe
 	peer    *conn
 }
 
-func newPair(n *Network, to string) (near, far *conn) {
-	there, back := newPipe(), newPipe()
-	near = &conn{network: n, to: to, in: back, out: there}
-	far = &conn{network: n, to: to, in: there, out: back}
+func newConnPair(n *Network, to string) (near, far *conn) {
+	outbound, inbound := newPipe(), newPipe()
+	near = &conn{network: n, address: to, in: inbound, out: outbound}
+	far = &conn{network: n, address: to, in: outbound, out: inbound}
 	near.peer, far.peer = far, near
 	return near, far
 }
@@ -38,7 +38,7 @@
 func (c *conn) Close() error {
 	c.in.closeRead()
 	c.out.closeWrite()
-	c.network.forget(c)
+	c.network.removeConn(c)
 	return nil
 }
 
@@ -53,10 +53,10 @@
 }
 
 // LocalAddr implements net.Conn.
-func (c *conn) LocalAddr() net.Addr { return address(c.to) }
+func (c *conn) LocalAddr() net.Addr { return address(c.address) }
 
 // RemoteAddr implements net.Conn.
-func (c *conn) RemoteAddr() net.Addr { return address(c.to) }
+func (c *conn) RemoteAddr() net.Addr { return address(c.address) }
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
@@ -79,19 +79,19 @@
 
 // pipe is one direction of a connection.
 type pipe struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	data    []byte
-	ended   bool
-	broken  bool
-	lost    bool
-	// frozen is until when nothing is delivered, though nothing is lost.
-	frozen  time.Time
-	readBy  deadline
-	writeBy deadline
-}
-
-// deadline wakes the pipe when it passes.
+	mu          sync.Mutex
+	changed     *sync.Cond
+	data        []byte
+	writeClosed bool
+	readClosed  bool
+	silent      bool
+	// frozenUntil is the time until which data is held back; none is lost.
+	frozenUntil   time.Time
+	readDeadline  deadline
+	writeDeadline deadline
+}
+
+// deadline is a read or write deadline that wakes the pipe when it passes.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
@@ -105,10 +105,9 @@
 		d.timer = nil
 	}
 	d.at = t
-	// A deadline in the past wakes by the broadcast that follows; a timer for
-	// it would be of no use.
-	if left := time.Until(t); !t.IsZero() && left > 0 {
-		d.timer = time.AfterFunc(left, wake)
+	// A deadline in the past needs no timer: the caller's broadcast wakes the waiters.
+	if remaining := time.Until(t); !t.IsZero() && remaining > 0 {
+		d.timer = time.AfterFunc(remaining, wake)
 	}
 }
 
@@ -124,43 +123,43 @@
 	p.changed.Broadcast()
 }
 
-func (p *pipe) read(into []byte) (int, error) {
+func (p *pipe) read(buffer []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
 		switch {
-		case p.broken:
+		case p.readClosed:
 			return 0, net.ErrClosed
-		case p.readBy.passed():
+		case p.readDeadline.passed():
 			return 0, os.ErrDeadlineExceeded
-		case time.Now().Before(p.frozen):
-		case len(p.data) > 0 && !p.lost:
-			n := copy(into, p.data)
+		case time.Now().Before(p.frozenUntil):
+		case len(p.data) > 0 && !p.silent:
+			n := copy(buffer, p.data)
 			p.data = p.data[n:]
 			p.changed.Broadcast()
 			return n, nil
-		case p.ended && !p.lost:
+		case p.writeClosed && !p.silent:
 			return 0, io.EOF
 		}
 		p.changed.Wait()
 	}
 }
 
-func (p *pipe) write(from []byte) (int, error) {
+func (p *pipe) write(data []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	written := 0
-	for written < len(from) {
+	for written < len(data) {
 		switch {
-		case p.ended:
+		case p.writeClosed:
 			return written, net.ErrClosed
-		case p.broken && !p.lost:
+		case p.readClosed && !p.silent:
 			return written, io.ErrClosedPipe
-		case p.writeBy.passed():
+		case p.writeDeadline.passed():
 			return written, os.ErrDeadlineExceeded
 		case len(p.data) < windowBytes:
-			room := min(windowBytes-len(p.data), len(from)-written)
-			p.data = append(p.data, from[written:written+room]...)
+			room := min(windowBytes-len(p.data), len(data)-written)
+			p.data = append(p.data, data[written:written+room]...)
 			written += room
 			p.changed.Broadcast()
 			continue
@@ -170,51 +169,50 @@
 	return written, nil
 }
 
-// closeRead ends the reader's side: what is written from now on fails.
+// closeRead closes the reader's end; later writes fail.
 func (p *pipe) closeRead() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.broken = true
-	p.readBy.set(time.Time{}, nil)
+	p.readClosed = true
+	p.readDeadline.set(time.Time{}, nil)
 	p.changed.Broadcast()
 }
 
-// closeWrite ends the writer's side: the reader sees what was written, then
-// the end.
+// closeWrite closes the writer's end; the reader gets the buffered data, then EOF.
 func (p *pipe) closeWrite() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
-	p.writeBy.set(time.Time{}, nil)
+	p.writeClosed = true
+	p.writeDeadline.set(time.Time{}, nil)
 	p.changed.Broadcast()
 }
 
-// silence loses all that is and will be written.
+// silence drops the buffered data and all later writes.
 func (p *pipe) silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lost = true
+	p.silent = true
 	p.changed.Broadcast()
 }
 
-// freeze holds everything back for a while, then delivers it.
+// freeze delays the delivery of data until d has passed.
 func (p *pipe) freeze(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.frozen = time.Now().Add(d)
+	p.frozenUntil = time.Now().Add(d)
 	time.AfterFunc(d, p.wake)
 }
 
 func (p *pipe) setReadDeadline(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.readBy.set(t, p.wake)
+	p.readDeadline.set(t, p.wake)
 	p.changed.Broadcast()
 }
 
 func (p *pipe) setWriteDeadline(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.writeBy.set(t, p.wake)
+	p.writeDeadline.set(t, p.wake)
 	p.changed.Broadcast()
 }
--- a/internal/standin/network/network.go
+++ b/internal/standin/network/network.go
@@ -1,6 +1,6 @@
-// Package network is a network in memory for tests: listeners and connections
-// with buffers, deadlines and faults, and no sockets, so that a whole site can
-// run in a bubble of fake time.
+// Package network is an in-memory network for tests. Its listeners and connections
+// have buffers, deadlines and injectable faults but use no sockets, so that a site
+// can run in a synctest bubble with fake time.
 package network
 
 import (
@@ -14,17 +14,17 @@
 
 // Network connects listeners and dialers. It is safe for concurrent use.
 type Network struct {
-	mu        sync.Mutex
-	nextPort  int
-	listeners map[string]*listener
-	conns     map[*conn]bool
-	vanished  map[string]bool
-	frozen    map[string]time.Time
+	mu          sync.Mutex
+	nextPort    int
+	listeners   map[string]*listener
+	conns       map[*conn]bool
+	vanished    map[string]bool
+	frozenUntil map[string]time.Time
 }
 
 // New returns a network without listeners.
 func New() *Network {
-	return &Network{nextPort: 1000, listeners: make(map[string]*listener), conns: make(map[*conn]bool), vanished: make(map[string]bool), frozen: make(map[string]time.Time)}
+	return &Network{nextPort: 1000, listeners: make(map[string]*listener), conns: make(map[*conn]bool), vanished: make(map[string]bool), frozenUntil: make(map[string]time.Time)}
 }
 
 // address implements net.Addr.
@@ -33,31 +33,31 @@
 func (a address) Network() string { return "tcp" }
 func (a address) String() string  { return string(a) }
 
-// Listen opens a listener; port 0 chooses one.
-func (n *Network) Listen(at string) (net.Listener, error) {
+// Listen opens a listener; port 0 selects an unused port.
+func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	host, port, err := net.SplitHostPort(at)
+	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, err
 	}
 	if port == "0" {
 		n.nextPort++
-		at = fmt.Sprintf("%s:%d", host, n.nextPort)
+		addr = fmt.Sprintf("%s:%d", host, n.nextPort)
 	}
-	if n.listeners[at] != nil {
-		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: address(at), Err: syscall.EADDRINUSE}
+	if n.listeners[addr] != nil {
+		return nil, &net.OpError{Op: "listen", Net: "tcp", Addr: address(addr), Err: syscall.EADDRINUSE}
 	}
-	l := &listener{network: n, at: at, arriving: make(chan net.Conn, 128), closed: make(chan struct{})}
-	n.listeners[at] = l
+	l := &listener{network: n, address: addr, backlog: make(chan net.Conn, 128), closed: make(chan struct{})}
+	n.listeners[addr] = l
 	return l, nil
 }
 
-// dialTimeout is how long a connection to an address that vanished is tried.
+// dialTimeout is the timeout of a dial to an address that does not respond.
 const dialTimeout = time.Second
 
-// Vanish takes an address away without a word, as a VM that loses its power
-// does: present connections fall silent, and new ones are tried in vain.
+// Vanish makes an address unresponsive, as when a VM loses power: existing
+// connections fall silent and new dials time out.
 func (n *Network) Vanish(to string) {
 	n.Silence(to)
 	n.mu.Lock()
@@ -65,50 +65,52 @@
 	n.vanished[to] = true
 }
 
-// Return ends what Vanish began, for new connections. An attempt that was begun
-// before still fails in its time, as one whose first packet was lost.
+// Return makes an address respond to new dials again after Vanish. A dial that is
+// in progress still times out, as one whose first packet was lost.
 func (n *Network) Return(to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.vanished, to)
 }
 
-// Freeze holds back what goes to and from an address for a while, as a process
-// that is paused does: what was under way arrives late, and nothing is lost.
+// Freeze delays all traffic to and from an address until d has passed, as when a
+// process is paused: data in transit arrives late, and none is lost.
 func (n *Network) Freeze(to string, d time.Duration) {
 	n.Stall(to, d)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.frozen[to] = time.Now().Add(d)
+	n.frozenUntil[to] = time.Now().Add(d)
 }
 
-// Stall holds back what is on the present connections to an address, while new
-// ones work: messages overtake each other.
+// Stall delays the traffic of the existing connections to an address until d has
+// passed, while new connections work, so that messages overtake each other.
 func (n *Network) Stall(to string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		if c.to == to {
+		if c.address == to {
 			c.freeze(d)
 		}
 	}
 }
 
-// DialContext connects to a listener or is refused at once.
+// DialContext connects to a listener. It fails at once if there is none, and after
+// dialTimeout if the address has vanished or is frozen for longer than that; it
+// waits for the end of a shorter freeze.
 func (n *Network) DialContext(ctx context.Context, _, to string) (net.Conn, error) {
 	n.mu.Lock()
-	gone, thaw := n.vanished[to], time.Until(n.frozen[to])
+	vanished, wait := n.vanished[to], time.Until(n.frozenUntil[to])
 	n.mu.Unlock()
-	if !gone && thaw <= 0 {
+	if !vanished && wait <= 0 {
 		return n.connect(to)
 	}
-	if gone || thaw > dialTimeout {
-		thaw = dialTimeout
+	if vanished || wait > dialTimeout {
+		wait = dialTimeout
 	}
 	select {
 	case <-ctx.Done():
-	case <-time.After(thaw):
-		if !gone && thaw < dialTimeout {
+	case <-time.After(wait):
+		if !vanished && wait < dialTimeout {
 			return n.connect(to)
 		}
 	}
@@ -122,9 +124,9 @@
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Addr: address(to), Err: syscall.ECONNREFUSED}
 	}
-	near, far := newPair(n, to)
+	near, far := newConnPair(n, to)
 	select {
-	case l.arriving <- far:
+	case l.backlog <- far:
 		n.conns[near] = true
 		return near, nil
 	default:
@@ -132,15 +134,15 @@
 	}
 }
 
-// Silence makes the present connections to an address silent for good: what is
-// written is lost, nothing is closed, and new connections work. It returns
-// their number.
+// Silence makes the existing connections to an address silent permanently: their
+// data is dropped, they are not closed, and new connections work. It returns the
+// number of connections silenced.
 func (n *Network) Silence(to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0
 	for c := range n.conns {
-		if c.to == to {
+		if c.address == to {
 			c.silence()
 			count++
 		}
@@ -148,7 +150,7 @@
 	return count
 }
 
-func (n *Network) forget(c *conn) {
+func (n *Network) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
@@ -156,17 +158,17 @@
 }
 
 type listener struct {
-	network  *Network
-	at       string
-	arriving chan net.Conn
-	once     sync.Once
-	closed   chan struct{}
+	network *Network
+	address string
+	backlog chan net.Conn
+	once    sync.Once
+	closed  chan struct{}
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.arriving:
+	case c := <-l.backlog:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -177,19 +179,19 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
-		delete(l.network.listeners, l.at)
+		delete(l.network.listeners, l.address)
 		l.network.mu.Unlock()
 		close(l.closed)
-		l.refuseArriving()
+		l.closeBacklog()
 	})
 	return nil
 }
 
-// refuseArriving closes the connections that nobody accepted.
-func (l *listener) refuseArriving() {
+// closeBacklog closes the connections that were not accepted.
+func (l *listener) closeBacklog() {
 	for {
 		select {
-		case c := <-l.arriving:
+		case c := <-l.backlog:
 			_ = c.Close()
 		default:
 			return
@@ -198,4 +200,4 @@
 }
 
 // Addr implements net.Listener.
-func (l *listener) Addr() net.Addr { return address(l.at) }
+func (l *listener) Addr() net.Addr { return address(l.address) }
