--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay stands between two processes in tests and trials and harms
-// their connections as a network may do: old ones fall silent for good while new
-// ones work, one direction is cut, all are delayed or reset.
+// Package relay is a TCP proxy that injects network faults between two processes,
+// for tests and trials: existing connections fall silent while new ones work, one
+// direction is cut, or all connections are delayed or reset.
 package relay
 
 import (
@@ -15,86 +15,87 @@
 	target   string
 
 	mu     sync.Mutex
-	conns  map[*pair]bool
+	pairs  map[*connPair]bool
 	closed bool
-	// delay holds back what is forwarded, and mute swallows what the target
-	// answers, of present and new connections.
-	delay time.Duration
-	mute  bool
-	wg    sync.WaitGroup
+	// delay applies to all forwarded data. With dropAnswers, data from the target is
+	// discarded. Both apply to existing and new connections.
+	delay       time.Duration
+	dropAnswers bool
+	wg          sync.WaitGroup
 }
 
-// pair is one forwarded connection.
-type pair struct {
+// connPair is one forwarded connection: near to the caller, far to the target.
+type connPair struct {
 	near, far net.Conn
 	mu        sync.Mutex
 	silent    bool
 }
 
-// New forwards what arrives on the listener to the target.
+// New starts a relay that forwards connections on the listener to the target.
 func New(listener net.Listener, target string) *Relay {
-	r := &Relay{listener: listener, target: target, conns: make(map[*pair]bool)}
+	r := &Relay{listener: listener, target: target, pairs: make(map[*connPair]bool)}
 	r.wg.Go(r.accept)
 	return r
 }
 
-// Addr returns the address to connect to.
+// Addr returns the address of the listener.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Silence makes all present connections silent for good; nothing is closed.
+// Silence makes all existing connections silent permanently without closing them.
+// It returns their number.
 func (r *Relay) Silence() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.conns {
+	for p := range r.pairs {
 		p.mu.Lock()
 		p.silent = true
 		p.mu.Unlock()
 	}
-	return len(r.conns)
+	return len(r.pairs)
 }
 
-// Reset ends all present connections as if an end had lost track of them.
+// Reset resets all existing connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for p := range r.conns {
+	for p := range r.pairs {
 		reset(p.near)
 		reset(p.far)
 	}
 }
 
-// SetDelay holds back each piece that is forwarded, in both directions.
+// SetDelay sets the delay of each forwarded chunk of data, in both directions.
 func (r *Relay) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// SetMute cuts the way back: the target gets all, and its answers are lost.
-// What was swallowed is gone, so connections that lived through it are reset
-// when the cut ends.
+// SetMute cuts the direction from the target to the caller: the target receives all
+// data, and its answers are discarded. As discarded data can't be recovered, all
+// connections that exist when the cut ends are reset.
 func (r *Relay) SetMute(mute bool) {
 	r.mu.Lock()
-	ended := r.mute && !mute
-	r.mute = mute
+	cutEnded := r.dropAnswers && !mute
+	r.dropAnswers = mute
 	r.mu.Unlock()
-	if ended {
+	if cutEnded {
 		r.Reset()
 	}
 }
 
-func (r *Relay) harm() (delay time.Duration, mute bool) {
+func (r *Relay) faults() (delay time.Duration, mute bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.delay, r.mute
+	return r.delay, r.dropAnswers
 }
 
-// Close ends all connections and waits.
+// Close stops the relay, closes all connections and waits for its goroutines.
 func (r *Relay) Close() error {
 	err := r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	for p := range r.conns {
+	for p := range r.pairs {
 		p.close()
 	}
 	r.mu.Unlock()
@@ -118,12 +119,12 @@
 		reset(near)
 		return
 	}
-	p := &pair{near: near, far: far}
+	p := &connPair{near: near, far: far}
 	r.mu.Lock()
 	if r.closed {
 		p.close()
 	}
-	r.conns[p] = true
+	r.pairs[p] = true
 	r.mu.Unlock()
 	var both sync.WaitGroup
 	both.Go(func() { r.copy(p, far, near, false) })
@@ -131,11 +132,11 @@
 	both.Wait()
 	p.close()
 	r.mu.Lock()
-	delete(r.conns, p)
+	delete(r.pairs, p)
 	r.mu.Unlock()
 }
 
-// reset makes the caller see a refusal, as when nothing listens.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -143,15 +144,16 @@
 	_ = conn.Close()
 }
 
-// copy forwards until either end closes. A silent pair swallows what it reads.
-func (r *Relay) copy(p *pair, to, from net.Conn, back bool) {
+// copy forwards data until either end closes; back is the direction from the target
+// to the caller. Data of a silent connection is discarded.
+func (r *Relay) copy(p *connPair, to, from net.Conn, back bool) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		p.mu.Lock()
 		silent := p.silent
 		p.mu.Unlock()
-		delay, mute := r.harm()
+		delay, mute := r.faults()
 		silent = silent || (mute && back)
 		if delay > 0 && err == nil {
 			<-time.After(delay)
@@ -174,7 +176,7 @@
 	p.close()
 }
 
-func (p *pair) close() {
+func (p *connPair) close() {
 	_ = p.near.Close()
 	_ = p.far.Close()
 }
--- a/internal/standin/relay/relay_test.go
+++ b/internal/standin/relay/relay_test.go
@@ -11,8 +11,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/relay"
 )
 
-// The stand-in must do what it stands for: after Silence an old connection
-// neither answers nor ends, and a new one works.
+// After Silence an existing connection neither answers nor ends, and a new one works.
 func TestOldConnectionsFallSilentNewOnesWork(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -38,38 +37,37 @@
 		_, err := io.ReadFull(conn, make([]byte, 1))
 		return err
 	}
-	old, err := net.Dial("tcp", r.Addr())
+	existing, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
-	require.NoError(t, echo(old, time.Minute))
+	require.NoError(t, echo(existing, time.Minute))
 	require.Equal(t, 1, r.Silence())
 	var timeout net.Error
-	require.ErrorAs(t, echo(old, 100*time.Millisecond), &timeout)
+	require.ErrorAs(t, echo(existing, 100*time.Millisecond), &timeout)
 	require.True(t, timeout.Timeout())
-	fresh, err := net.Dial("tcp", r.Addr())
+	newConn, err := net.Dial("tcp", r.Addr())
 	require.NoError(t, err)
-	require.NoError(t, echo(fresh, time.Minute))
-	require.NoError(t, old.Close())
-	require.NoError(t, fresh.Close())
+	require.NoError(t, echo(newConn, time.Minute))
+	require.NoError(t, existing.Close())
+	require.NoError(t, newConn.Close())
 	require.NoError(t, r.Close())
 	require.NoError(t, target.Close())
 }
 
-// The stand-in must do what it stands for: while the way back is cut the target
-// gets what is sent and its answers are lost; after it new connections work and
-// those that lived through it end.
+// While the way back is cut the target receives data and its answers are lost; when
+// the cut ends, connections that existed during it are closed.
 func TestWayBackIsCut(t *testing.T) {
 	target, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	got := make(chan byte, 1)
+	atTarget := make(chan byte, 1)
 	go func() {
 		conn, err := target.Accept()
 		if err != nil {
 			return
 		}
-		piece := make([]byte, 1)
-		if _, err := io.ReadFull(conn, piece); err == nil {
-			got <- piece[0]
-			_, _ = conn.Write(piece)
+		received := make([]byte, 1)
+		if _, err := io.ReadFull(conn, received); err == nil {
+			atTarget <- received[0]
+			_, _ = conn.Write(received)
 		}
 	}()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +78,7 @@
 	require.NoError(t, err)
 	_, err = conn.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Equal(t, byte('x'), <-got)
+	require.Equal(t, byte('x'), <-atTarget)
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(100*time.Millisecond)))
 	_, err = conn.Read(make([]byte, 1))
 	var timeout net.Error
