--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform serves the stand-ins of the platform's two services, the
-// key-value service and the list of VMs, at one address, for tests and trials.
+// Package platform serves stand-ins for the platform's two services, the key-value
+// service and the VM list, at one address, for tests and trials.
 package platform
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/vms"
 )
 
-// Network is where the platform listens.
+// Network is the network on which the platform listens.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 }
 
-// Platform is both services.
+// Platform runs both services.
 type Platform struct {
 	store  *kv.Service
 	list   *vms.List
@@ -26,7 +26,7 @@
 	url    string
 }
 
-// New starts both services on a loopback address of the network; seed decides
+// New starts both services on a loopback address of the network; seed determines
 // which answers of the store are lost.
 func New(network Network, seed uint64) (*Platform, error) {
 	listener, err := network.Listen("127.0.0.1:0")
@@ -37,23 +37,23 @@
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", p.store.Handler())
 	mux.Handle("/vms", p.list)
-	quiet := slog.NewLogLogger(slog.NewTextHandler(io.Discard, nil), slog.LevelDebug)
-	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute, ErrorLog: quiet}
+	discard := slog.NewLogLogger(slog.NewTextHandler(io.Discard, nil), slog.LevelDebug)
+	p.server = &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute, ErrorLog: discard}
 	go func() { _ = p.server.Serve(listener) }()
 	return p, nil
 }
 
-// Store returns the stand-in of the key-value service, to set its faults.
+// Store returns the stand-in for the key-value service, for fault injection.
 func (p *Platform) Store() *kv.Service { return p.store }
 
-// List returns the stand-in of the list of VMs.
+// List returns the stand-in for the VM list.
 func (p *Platform) List() *vms.List { return p.list }
 
-// StoreURL returns the address of the key-value service.
+// StoreURL returns the base URL of the key-value service.
 func (p *Platform) StoreURL() string { return p.url }
 
-// ListURL returns the address of the list of VMs.
+// ListURL returns the URL of the VM list.
 func (p *Platform) ListURL() string { return p.url + "/vms" }
 
-// Close ends both.
+// Close stops both services.
 func (p *Platform) Close() error { return p.server.Close() }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in of a plain booking service for tests and
-// trials. It does not know of idempotency: whatever reaches it takes effect,
-// and it counts each effect, so that a doubled action shows.
+// Package service is a stand-in for a plain booking service, for tests and trials.
+// It does not deduplicate: every action that reaches it takes effect and is counted,
+// so that tests can detect actions executed twice.
 package service
 
 import (
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// Settings is the service's nature.
+// Settings are the characteristics of a service.
 type Settings struct {
-	// Delay is the time of one call.
+	// Delay is the duration of one call.
 	Delay time.Duration
 }
 
-// Ledger counts the effects of actions over several stand-ins, by their
-// idempotency key, or by the body of those without one.
+// Ledger counts the effects of actions over several stand-ins, by idempotency key,
+// or by path and body for actions without one.
 type Ledger struct {
 	mu      sync.Mutex
 	effects map[string]int
 	calls   map[string]int
 }
 
-// NewLedger returns an empty ledger.
+// NewLedger returns an empty Ledger.
 func NewLedger() *Ledger { return &Ledger{effects: make(map[string]int), calls: make(map[string]int)} }
 
-// Effects returns how often the action took effect.
+// Effects returns how often the action with the key took effect.
 func (l *Ledger) Effects(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,35 +43,35 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	doubled := 0
-	for _, n := range l.effects {
-		if n > 1 {
+	for _, count := range l.effects {
+		if count > 1 {
 			doubled++
 		}
 	}
 	return doubled
 }
 
-// Calls returns how often each request id was called.
+// Calls returns the number of calls by request ID.
 func (l *Ledger) Calls() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.calls)
 }
 
-func (l *Ledger) called(requestID string) {
+func (l *Ledger) recordCall(requestID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls[requestID]++
 }
 
-func (l *Ledger) add(key string) int {
+func (l *Ledger) recordEffect(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.effects[key]++
 	return l.effects[key]
 }
 
-// Service is one stand-in.
+// Service is one stand-in service.
 type Service struct {
 	settings Settings
 	ledger   *Ledger
@@ -91,7 +91,7 @@
 	return s
 }
 
-// Addr returns the address served.
+// Addr returns the address of the service.
 func (s *Service) Addr() string { return s.listener.Addr().String() }
 
 // Calls returns the number of calls so far.
@@ -101,7 +101,7 @@
 	return s.calls
 }
 
-// Close stops the service and waits.
+// Close stops the service and waits until it has ended.
 func (s *Service) Close() error {
 	err := s.server.Close()
 	s.wg.Wait()
@@ -117,7 +117,7 @@
 	s.calls++
 	call := s.calls
 	s.mu.Unlock()
-	s.ledger.called(r.Header.Get("X-Request-Id"))
+	s.ledger.recordCall(r.Header.Get("X-Request-Id"))
 	w.Header().Set("Content-Type", "application/json")
 	if r.Method == http.MethodGet {
 		time.Sleep(s.settings.Delay)
@@ -128,8 +128,8 @@
 	if key == "" {
 		key = r.URL.Path + string(body)
 	}
-	times := s.ledger.add(key)
+	effects := s.ledger.recordEffect(key)
 	time.Sleep(s.settings.Delay)
 	w.WriteHeader(http.StatusCreated)
-	_, _ = fmt.Fprintf(w, `{"action":%q,"call":%d,"times":%d}`, key, call, times)
+	_, _ = fmt.Fprintf(w, `{"action":%q,"call":%d,"times":%d}`, key, call, effects)
 }
--- a/internal/standin/vms/vms.go
+++ b/internal/standin/vms/vms.go
@@ -1,5 +1,5 @@
-// Package vms is a stand-in of the platform's list of VMs for tests and
-// trials. The list it serves lags behind the one it is given.
+// Package vms is a stand-in for the platform's VM list, for tests and trials. It
+// serves changes of the list with a lag.
 package vms
 
 import (
@@ -16,24 +16,23 @@
 	lag time.Duration
 	now func() time.Time
 
-	mu       sync.Mutex
-	versions []version
+	mu        sync.Mutex
+	snapshots []snapshot
 }
 
-// version is a list and from when on it is served.
-type version struct {
-	at  time.Time
-	raw []byte
-	tag string
+// snapshot is a list with the time from which it is served.
+type snapshot struct {
+	servedFrom time.Time
+	raw        []byte
+	etag       string
 }
 
-// New returns an empty list that is served with a lag.
+// New returns a List whose changes are served after the lag.
 func New(lag time.Duration, now func() time.Time) *List {
 	return &List{lag: lag, now: now}
 }
 
-// Set replaces the list; it is served once the lag has passed. The first one
-// is served at once.
+// Set replaces the list. The new list is served after the lag, the first one at once.
 func (l *List) Set(list []vmlist.VM) error {
 	raw, err := vmlist.Format(list)
 	if err != nil {
@@ -42,10 +41,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := l.now().Add(l.lag)
-	if len(l.versions) == 0 {
+	if len(l.snapshots) == 0 {
 		at = l.now()
 	}
-	l.versions = append(l.versions, version{at: at, raw: raw, tag: fmt.Sprintf(`"%d"`, len(l.versions))})
+	l.snapshots = append(l.snapshots, snapshot{servedFrom: at, raw: raw, etag: fmt.Sprintf(`"%d"`, len(l.snapshots))})
 	return nil
 }
 
@@ -56,8 +55,8 @@
 		http.Error(w, "no list yet", http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set("ETag", current.tag)
-	if r.Header.Get("If-None-Match") == current.tag {
+	w.Header().Set("ETag", current.etag)
+	if r.Header.Get("If-None-Match") == current.etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
@@ -65,14 +64,14 @@
 	_, _ = w.Write(current.raw)
 }
 
-func (l *List) current() (version, bool) {
+func (l *List) current() (snapshot, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	for i := len(l.versions) - 1; i >= 0; i-- {
-		if !now.Before(l.versions[i].at) {
-			return l.versions[i], true
+	for i := len(l.snapshots) - 1; i >= 0; i-- {
+		if !now.Before(l.snapshots[i].servedFrom) {
+			return l.snapshots[i], true
 		}
 	}
-	return version{}, false
+	return snapshot{}, false
 }
