--- a/internal/trial/policy/policy.go
+++ b/internal/trial/policy/policy.go
@@ -1,7 +1,6 @@
-// Package policy compares the index's policies on the same seeded arrivals. A
-// queue recurrence stands for the upstreams: each has slots and serves its
-// queue by tier, first come first served inside a tier. It is no cluster
-// simulator; it knows no links, failures or processes.
+// Package policy compares the policies of package index on the same seeded arrivals.
+// Upstreams are modeled by a queue recurrence: each is a single server whose queue
+// is ordered by tier, then by arrival. Links, processes and failures are not modeled.
 package policy
 
 import (
@@ -17,121 +16,125 @@
 // Sizes is a distribution of job sizes with mean 1.
 type Sizes string
 
-// The distributions of the paper's experiments.
+// The distributions of job sizes, those of the experiments in the paper that package
+// index follows.
 const (
 	Exponential Sizes = "exponential"
 	Weibull     Sizes = "weibull"
 	Pareto      Sizes = "pareto"
 )
 
-// Setting is one experiment.
+// Setting holds the parameters of one experiment.
 type Setting struct {
 	Seed   uint64
 	Jobs   int
 	Speeds []float64
 	Sizes  Sizes
-	// Load is the offered work over the capacity.
+	// Load is the ratio of offered work to capacity.
 	Load float64
-	// Stale is the age of what the policy sees.
+	// Stale is the maximum age of the reports that the policy sees.
 	Stale time.Duration
-	// Corrected tells whether the policy adds what was sent since to a report,
-	// as an entry does with what it sent itself.
+	// Corrected makes the policy add the jobs sent since a report to the report, as
+	// an entry does with its own requests.
 	Corrected bool
-	// Error is the spread of predicted against true sizes: the standard
-	// deviation of the logarithm of their quotient; 0 for sizes known.
+	// Error is the prediction error of job sizes: the standard deviation of the
+	// logarithm of the ratio of predicted to true size. 0 means exact predictions.
 	Error float64
-	// Prefixes and CacheHeld say how many prefixes there are and how many of
-	// them one upstream's cache holds.
+	// Prefixes is the number of prompt prefixes, and CacheHeld the number of
+	// prefixes that the cache of one upstream holds.
 	Prefixes  int
 	CacheHeld int
-	// PrefillShare is the mean share of a job that a cached prefix saves.
+	// PrefillShare is the share of a job's work that a cached prefix saves.
 	PrefillShare float64
-	// Slowdown makes one upstream in four this many times slower in the middle
-	// third; 1 or 0 for none.
+	// Slowdown divides the speed of one upstream in four in the middle third of the
+	// time; 0 or 1 for no slowdown.
 	Slowdown float64
-	// Burst multiplies the rate in the middle fifth; 1 or 0 for none.
+	// Burst multiplies the arrival rate in the middle fifth of the jobs; 0 or 1 for
+	// no burst.
 	Burst float64
 }
 
-// Outcome is how one policy did.
+// Outcome is the result of one policy.
 type Outcome struct {
 	Policy string `json:"policy"`
-	// Goodput is the share in time by tier, highest first.
+	// Goodput is the share of jobs completed in time, by tier, highest first.
 	Goodput []float64 `json:"goodput"`
-	// MeanDelay is over all jobs that were served, in mean sizes.
+	// MeanDelay is the mean time from arrival to completion of the jobs served, in
+	// units of meanJobTime.
 	MeanDelay float64 `json:"mean-delay"`
-	// Wasted is prefill computed that another upstream's cache held, over all
-	// prefill offered.
+	// Wasted is the share of wasted prefill in the prefill of all jobs started. Prefill
+	// is wasted if another upstream has the prefix cached, or if the job is preempted.
 	Wasted float64 `json:"wasted-prefill"`
 }
 
 const (
-	// tiers and their shares of the jobs, highest first.
 	tierCount = 3
-	// unit is the time of a job of mean size at speed 1.
-	unit = time.Second
-	// deadlineFactor is a job's time allowed, in its own time at mean speed,
-	// and deadlineFloor the least, in units.
+	// meanJobTime is the service time of a job of mean size at speed 1.
+	meanJobTime = time.Second
+	// deadlineFactor is the time from arrival to deadline as a multiple of the job's
+	// service time at speed 1, and deadlineFloor the minimum, in units of meanJobTime.
 	deadlineFactor = 6
 	deadlineFloor  = 4
 )
 
-// tierShares sum to 1; the top tier alone stays under capacity at load 1.5.
+// tierShares are the shares of jobs by tier, highest first. They sum to 1, and the top
+// tier alone stays below capacity at a load of 1.5.
 var tierShares = [tierCount]float64{0.4, 0.35, 0.25}
 
 type job struct {
-	at, deadline float64
-	size, guess  float64
-	tier         int
-	prefix       int
+	arrival, deadline   float64
+	size, predictedSize float64
+	tier                int
+	prefix              int
 }
 
-// Run plays one policy on the setting's arrivals.
+// Run simulates one policy on the arrivals of the setting.
 func Run(s Setting, name string) Outcome {
-	arrivals := draw(s)
-	f := newField(s, arrivals)
+	arrivals := drawArrivals(s)
+	sim := newSimulation(s, arrivals)
 	choose := index.Registry[name]
 	random := rand.New(rand.NewPCG(s.Seed, 7))
-	for _, j := range arrivals {
-		f.advance(j.at)
-		views := f.views(j)
-		at := choose(views, j.asJob(s), f.traffic(), random)
-		f.admit(at, j)
-		f.correct(at, j)
+	for _, arriving := range arrivals {
+		sim.advance(arriving.arrival)
+		views := sim.views(arriving)
+		target := choose(views, arriving.indexJob(s), sim.trafficStats(), random)
+		sim.admit(target, arriving)
+		sim.addToReports(target, arriving)
 	}
-	f.advance(math.Inf(1))
-	return f.outcome(name)
+	sim.advance(math.Inf(1))
+	return sim.outcome(name)
 }
 
-func (j job) asJob(s Setting) index.Job {
-	prefill := s.PrefillShare * j.guess
-	return index.Job{Decode: seconds(j.guess - prefill), Prefill: seconds(prefill), Cost: float64(tierCount - j.tier)}
+func (j job) indexJob(s Setting) index.Job {
+	prefill := s.PrefillShare * j.predictedSize
+	return index.Job{Decode: seconds(j.predictedSize - prefill), Prefill: seconds(prefill), Cost: float64(tierCount - j.tier)}
 }
 
-func seconds(x float64) time.Duration { return time.Duration(x * float64(unit)) }
+func seconds(x float64) time.Duration { return time.Duration(x * float64(meanJobTime)) }
 
-// draw makes the arrivals: Poisson, with sizes, tiers, prefixes and guesses.
-func draw(s Setting) []job {
+// drawArrivals generates Poisson arrivals with sizes, predicted sizes, tiers and
+// prefixes.
+func drawArrivals(s Setting) []job {
 	random := rand.New(rand.NewPCG(s.Seed, 11))
 	capacity := 0.0
 	for _, speed := range s.Speeds {
 		capacity += speed
 	}
 	arrivals := make([]job, 0, s.Jobs)
-	at := 0.0
+	now := 0.0
 	for i := range s.Jobs {
 		rate := s.Load * capacity
-		if part := float64(i) / float64(s.Jobs); s.Burst > 1 && part > 0.4 && part < 0.6 {
+		if fraction := float64(i) / float64(s.Jobs); s.Burst > 1 && fraction > 0.4 && fraction < 0.6 {
 			rate *= s.Burst
 		}
-		at += random.ExpFloat64() / rate
+		now += random.ExpFloat64() / rate
 		size := drawSize(random, s.Sizes)
 		allowed := max(deadlineFactor*size, deadlineFloor)
-		j := job{at: at, deadline: at + allowed, size: size, guess: size * math.Exp(s.Error*random.NormFloat64()), tier: drawTier(random)}
+		j := job{arrival: now, deadline: now + allowed, size: size, predictedSize: size * math.Exp(s.Error*random.NormFloat64()), tier: drawTier(random)}
 		if s.Prefixes > 0 {
-			// The square makes the first prefixes the popular ones.
-			share := random.Float64()
-			j.prefix = int(share * share * float64(s.Prefixes))
+			// Squaring the uniform variate makes the first prefixes the popular ones.
+			position := random.Float64()
+			j.prefix = int(position * position * float64(s.Prefixes))
 		}
 		arrivals = append(arrivals, j)
 	}
@@ -139,12 +142,12 @@
 }
 
 func drawTier(random *rand.Rand) int {
-	at := random.Float64()
+	remaining := random.Float64()
 	for tier, share := range tierShares {
-		if at < share {
+		if remaining < share {
 			return tier
 		}
-		at -= share
+		remaining -= share
 	}
 	return tierCount - 1
 }
@@ -161,261 +164,263 @@
 	return random.ExpFloat64()
 }
 
-// drawPareto is truncated so that lengths span a hundredfold and the mean is
-// about 1.
+// drawPareto draws from a truncated Pareto distribution in which sizes span a factor
+// of 100 and the mean is about 1.
 func drawPareto(random *rand.Rand) float64 {
 	const (
 		shape  = 1.1
 		lowest = 0.27
 		span   = 100
 	)
-	u := random.Float64() * (1 - math.Pow(span, -shape))
-	return lowest * math.Pow(1-u, -1/shape)
+	uniform := random.Float64() * (1 - math.Pow(span, -shape))
+	return lowest * math.Pow(1-uniform, -1/shape)
 }
 
-// field is the upstreams.
-type field struct {
-	setting   Setting
-	stations  []*station
-	reports   [tierCount][]index.View
-	reportAt  float64
-	now       float64
-	end       float64
-	inTime    [tierCount]int
-	offered   [tierCount]int
-	delay     float64
-	served    int
-	wasted    float64
-	prefill   float64
-	sizeSum   float64
-	squareSum float64
-	arrived   int
+// simulation is the state of one run.
+type simulation struct {
+	setting    Setting
+	upstreams  []*upstream
+	reports    [tierCount][]index.View
+	reportedAt float64
+	now        float64
+	end        float64
+	inTime     [tierCount]int
+	offered    [tierCount]int
+	delay      float64
+	served     int
+	wasted     float64
+	prefill    float64
+	sizeSum    float64
+	squareSum  float64
+	arrived    int
 }
 
-// station is one upstream: a single server whose queue is by tier.
-type station struct {
-	speed   float64
-	slow    bool
-	queue   waiting
-	current job
-	busy    bool
-	until   float64
-	// backlog is the guessed work that waits, by tier.
+// upstream is a single server with a queue ordered by tier.
+type upstream struct {
+	speed     float64
+	slow      bool
+	queue     jobQueue
+	current   job
+	busy      bool
+	busyUntil float64
+	// backlog is the predicted size of the queued jobs, by tier.
 	backlog [tierCount]float64
 	cache   []int
 }
 
-type waiting []job
+type jobQueue []job
 
 // Len, Less, Swap, Push and Pop implement heap.Interface.
-func (w waiting) Len() int { return len(w) }
-func (w waiting) Less(i, j int) bool {
-	if w[i].tier != w[j].tier {
-		return w[i].tier < w[j].tier
+func (q jobQueue) Len() int { return len(q) }
+func (q jobQueue) Less(i, j int) bool {
+	if q[i].tier != q[j].tier {
+		return q[i].tier < q[j].tier
 	}
-	return w[i].at < w[j].at
+	return q[i].arrival < q[j].arrival
 }
-func (w waiting) Swap(i, j int) { w[i], w[j] = w[j], w[i] }
+func (q jobQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push adds a job; callers use heap.Push.
-func (w *waiting) Push(x any) { *w = append(*w, x.(job)) }
+func (q *jobQueue) Push(x any) { *q = append(*q, x.(job)) }
 
 // Pop removes the last job; callers use heap.Pop.
-func (w *waiting) Pop() any {
-	last := (*w)[len(*w)-1]
-	*w = (*w)[:len(*w)-1]
+func (q *jobQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-func newField(s Setting, arrivals []job) *field {
-	f := &field{setting: s, reportAt: math.Inf(-1)}
+func newSimulation(s Setting, arrivals []job) *simulation {
+	sim := &simulation{setting: s, reportedAt: math.Inf(-1)}
 	for i, speed := range s.Speeds {
-		f.stations = append(f.stations, &station{speed: speed, slow: i%4 == 0})
+		sim.upstreams = append(sim.upstreams, &upstream{speed: speed, slow: i%4 == 0})
 	}
-	f.end = arrivals[len(arrivals)-1].at
-	return f
+	sim.end = arrivals[len(arrivals)-1].arrival
+	return sim
 }
 
-// speedOf is the true speed at a time, slowed in the middle third.
-func (f *field) speedOf(s *station, at float64) float64 {
-	middle := at > f.end/3 && at < 2*f.end/3
-	if f.setting.Slowdown > 1 && s.slow && middle {
-		return s.speed / f.setting.Slowdown
+// speedOf returns the actual speed at a time, which a slowdown reduces in the middle
+// third.
+func (sim *simulation) speedOf(u *upstream, at float64) float64 {
+	middle := at > sim.end/3 && at < 2*sim.end/3
+	if sim.setting.Slowdown > 1 && u.slow && middle {
+		return u.speed / sim.setting.Slowdown
 	}
-	return s.speed
+	return u.speed
 }
 
-// advance finishes what is done by the time. Jobs past their deadline before
-// they start are dropped, by every policy alike.
-func (f *field) advance(to float64) {
-	for _, s := range f.stations {
-		for s.busy && s.until <= to {
-			f.finish(s)
-			f.startNext(s, s.until)
+// advance completes the jobs that end by the time and starts queued ones. Under every
+// policy, queued jobs that can no longer meet their deadline are dropped.
+func (sim *simulation) advance(to float64) {
+	for _, u := range sim.upstreams {
+		for u.busy && u.busyUntil <= to {
+			sim.finish(u)
+			sim.startNext(u, u.busyUntil)
 		}
 	}
-	f.now = to
+	sim.now = to
 }
 
-func (f *field) finish(s *station) {
-	j := s.current
-	s.busy = false
-	f.served++
-	f.delay += s.until - j.at
-	if s.until <= j.deadline {
-		f.inTime[j.tier]++
+func (sim *simulation) finish(u *upstream) {
+	j := u.current
+	u.busy = false
+	sim.served++
+	sim.delay += u.busyUntil - j.arrival
+	if u.busyUntil <= j.deadline {
+		sim.inTime[j.tier]++
 	}
 }
 
-func (f *field) startNext(s *station, at float64) {
-	for s.queue.Len() > 0 {
-		j := heap.Pop(&s.queue).(job)
-		s.backlog[j.tier] -= j.guess
-		if at+j.size/s.speed > j.deadline {
+func (sim *simulation) startNext(u *upstream, at float64) {
+	for u.queue.Len() > 0 {
+		j := heap.Pop(&u.queue).(job)
+		u.backlog[j.tier] -= j.predictedSize
+		if at+j.size/u.speed > j.deadline {
 			continue
 		}
-		f.start(s, j, at)
+		sim.start(u, j, at)
 		return
 	}
 }
 
-func (f *field) start(s *station, j job, at float64) {
+func (sim *simulation) start(u *upstream, j job, at float64) {
 	work := j.size
-	prefill := f.setting.PrefillShare * j.size
-	f.prefill += prefill
-	if s.holds(j.prefix) {
+	prefill := sim.setting.PrefillShare * j.size
+	sim.prefill += prefill
+	if u.hasCached(j.prefix) {
 		work -= prefill
-	} else if f.heldElsewhere(j.prefix) {
-		f.wasted += prefill
+	} else if sim.cachedAnywhere(j.prefix) {
+		sim.wasted += prefill
 	}
-	s.use(j.prefix, f.setting.CacheHeld)
-	s.current, s.busy = j, true
-	s.until = at + work/f.speedOf(s, at)
+	u.cachePrefix(j.prefix, sim.setting.CacheHeld)
+	u.current, u.busy = j, true
+	u.busyUntil = at + work/sim.speedOf(u, at)
 }
 
-func (f *field) admit(at int, j job) {
-	f.offered[j.tier]++
-	f.arrived++
-	f.sizeSum += j.guess
-	f.squareSum += j.guess * j.guess
-	s := f.stations[at]
-	if !s.busy {
-		f.start(s, j, j.at)
+func (sim *simulation) admit(upstreamIndex int, j job) {
+	sim.offered[j.tier]++
+	sim.arrived++
+	sim.sizeSum += j.predictedSize
+	sim.squareSum += j.predictedSize * j.predictedSize
+	u := sim.upstreams[upstreamIndex]
+	if !u.busy {
+		sim.start(u, j, j.arrival)
 		return
 	}
-	if f.preempts(s, j) {
-		f.start(s, j, j.at)
+	if sim.preempts(u, j) {
+		sim.start(u, j, j.arrival)
 		return
 	}
-	heap.Push(&s.queue, j)
-	s.backlog[j.tier] += j.guess
+	heap.Push(&u.queue, j)
+	u.backlog[j.tier] += j.predictedSize
 }
 
-// preempts tells whether the job would miss its deadline behind a run of a
-// lower tier, which is then given up; the agent's admission does the same.
-func (f *field) preempts(s *station, j job) bool {
-	misses := s.until+j.size/s.speed > j.deadline
-	if s.current.tier <= j.tier || !misses {
+// preempts reports whether the job would miss its deadline behind a running job of a
+// lower tier, which is then aborted, as by the agent's admission control.
+func (sim *simulation) preempts(u *upstream, j job) bool {
+	misses := u.busyUntil+j.size/u.speed > j.deadline
+	if u.current.tier <= j.tier || !misses {
 		return false
 	}
-	f.wasted += f.setting.PrefillShare * s.current.size
+	sim.wasted += sim.setting.PrefillShare * u.current.size
 	return true
 }
 
-func (s *station) holds(prefix int) bool {
-	for _, held := range s.cache {
-		if held == prefix {
+func (u *upstream) hasCached(prefix int) bool {
+	for _, cached := range u.cache {
+		if cached == prefix {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *station) use(prefix, bound int) {
-	kept := s.cache[:0]
-	for _, held := range s.cache {
-		if held != prefix {
-			kept = append(kept, held)
+func (u *upstream) cachePrefix(prefix, capacity int) {
+	others := u.cache[:0]
+	for _, cached := range u.cache {
+		if cached != prefix {
+			others = append(others, cached)
 		}
 	}
-	s.cache = append(kept, prefix)
-	if len(s.cache) > bound {
-		s.cache = s.cache[1:]
+	u.cache = append(others, prefix)
+	if len(u.cache) > capacity {
+		u.cache = u.cache[1:]
 	}
 }
 
-func (f *field) heldElsewhere(prefix int) bool {
-	for _, s := range f.stations {
-		if s.holds(prefix) {
+func (sim *simulation) cachedAnywhere(prefix int) bool {
+	for _, u := range sim.upstreams {
+		if u.hasCached(prefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// views are the upstreams as the policy sees them: a report as old as the
-// setting says, and the job's own tier's share of the backlog.
-func (f *field) views(j job) []index.View {
-	if f.now-f.reportAt >= f.setting.Stale.Seconds() {
-		f.reportAt = f.now
+// views returns the upstreams as the policy sees them: reports of up to the age given
+// by the setting, with the backlog of the job's tier and the tiers above it.
+func (sim *simulation) views(j job) []index.View {
+	if sim.now-sim.reportedAt >= sim.setting.Stale.Seconds() {
+		sim.reportedAt = sim.now
 		for tier := range tierCount {
-			f.reports[tier] = f.reports[tier][:0]
-			for _, s := range f.stations {
-				f.reports[tier] = append(f.reports[tier], f.view(s, tier))
+			sim.reports[tier] = sim.reports[tier][:0]
+			for _, u := range sim.upstreams {
+				sim.reports[tier] = append(sim.reports[tier], sim.view(u, tier))
 			}
 		}
 	}
-	views := append([]index.View(nil), f.reports[j.tier]...)
+	views := append([]index.View(nil), sim.reports[j.tier]...)
 	for i := range views {
 		views[i].Cached = 0
-		if f.setting.CacheHeld > 0 && f.stations[i].holds(j.prefix) {
+		if sim.setting.CacheHeld > 0 && sim.upstreams[i].hasCached(j.prefix) {
 			views[i].Cached = 1
 		}
 	}
 	return views
 }
 
-// correct adds a job that was sent to the reports in use.
-func (f *field) correct(at int, j job) {
-	if !f.setting.Corrected {
+// addToReports adds a job that was sent to the current reports, if the setting is
+// Corrected.
+func (sim *simulation) addToReports(upstreamIndex int, j job) {
+	if !sim.setting.Corrected {
 		return
 	}
 	for tier := j.tier; tier < tierCount; tier++ {
-		v := &f.reports[tier][at]
+		v := &sim.reports[tier][upstreamIndex]
 		v.Jobs++
-		v.Backlog += seconds(j.guess / v.Speed)
+		v.Backlog += seconds(j.predictedSize / v.Speed)
 	}
 }
 
-func (f *field) view(s *station, tier int) index.View {
-	v := index.View{Slots: 1, Speed: s.speed, Jobs: s.queue.Len()}
-	for _, work := range s.backlog[:tier+1] {
-		v.Backlog += seconds(work / s.speed)
+func (sim *simulation) view(u *upstream, tier int) index.View {
+	v := index.View{Slots: 1, Speed: u.speed, Jobs: u.queue.Len()}
+	for _, work := range u.backlog[:tier+1] {
+		v.Backlog += seconds(work / u.speed)
 	}
-	if s.busy {
+	if u.busy {
 		v.Jobs++
-		v.Backlog += seconds(max(s.until-f.now, 0))
+		v.Backlog += seconds(max(u.busyUntil-sim.now, 0))
 	}
 	return v
 }
 
-func (f *field) traffic() index.Traffic {
-	if f.arrived == 0 || f.now <= 0 {
+func (sim *simulation) trafficStats() index.Traffic {
+	if sim.arrived == 0 || sim.now <= 0 {
 		return index.Traffic{Rate: 1, MeanSize: 1, MeanSquare: 2}
 	}
-	count := float64(f.arrived)
-	return index.Traffic{Rate: count / f.now, MeanSize: f.sizeSum / count, MeanSquare: f.squareSum / count}
+	count := float64(sim.arrived)
+	return index.Traffic{Rate: count / sim.now, MeanSize: sim.sizeSum / count, MeanSquare: sim.squareSum / count}
 }
 
-func (f *field) outcome(name string) Outcome {
-	o := Outcome{Policy: name, MeanDelay: f.delay / float64(max(f.served, 1)), Wasted: f.wasted / max(f.prefill, 1)}
+func (sim *simulation) outcome(name string) Outcome {
+	o := Outcome{Policy: name, MeanDelay: sim.delay / float64(max(sim.served, 1)), Wasted: sim.wasted / max(sim.prefill, 1)}
 	for tier := range tierCount {
-		o.Goodput = append(o.Goodput, float64(f.inTime[tier])/float64(max(f.offered[tier], 1)))
+		o.Goodput = append(o.Goodput, float64(sim.inTime[tier])/float64(max(sim.offered[tier], 1)))
 	}
 	return o
 }
 
-// Names returns all policies in order.
+// Names returns the names of all policies in alphabetical order.
 func Names() []string {
 	names := make([]string, 0, len(index.Registry))
 	for name := range index.Registry {
