--- a/internal/trial/moves/moves.go
+++ b/internal/trial/moves/moves.go
@@ -1,6 +1,6 @@
-// Package moves plays many seeded version moves against the decisions alone:
-// the same share, evidence, brakes and steps as in the roles, with drawn
-// requests in place of processes.
+// Package moves simulates seeded version moves. It uses the same share, evidence,
+// brake and step logic as the real processes, with random requests instead of
+// running processes.
 package moves
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/persimmonridge/persimmonridge/internal/version/move"
 )
 
-// Kind is how a new version is.
+// Kind is the behavior of the new version.
 type Kind string
 
-// The kinds.
+// The kinds of new versions.
 const (
 	Good      Kind = "good"
 	FailsNow  Kind = "fails at once"
@@ -28,141 +28,145 @@
 	OneRoute  Kind = "fails on one route"
 )
 
-// Kinds returns all kinds.
+// Kinds returns all kinds of new versions.
 func Kinds() []Kind { return []Kind{Good, FailsNow, SlowNow, Later, UnderLoad, OneRoute} }
 
-// Trouble is what else goes wrong.
+// Trouble is a disturbance that is independent of the new version.
 type Trouble string
 
-// The troubles.
+// The disturbances.
 const (
 	Calm         Trouble = "calm"
 	StoreOutage  Trouble = "store outage in the middle"
 	PausedHolder Trouble = "holder paused past its lease"
 )
 
-// Troubles returns all troubles.
+// Troubles returns all disturbances.
 func Troubles() []Trouble { return []Trouble{Calm, StoreOutage, PausedHolder} }
 
-// Setting is one move.
+// Setting holds the parameters of one simulated move.
 type Setting struct {
 	Seed    uint64
 	Kind    Kind
 	Trouble Trouble
-	// Rate is requests a second of the service.
+	// Rate is the number of requests of the service per second.
 	Rate float64
 	// Span is the time from start to deadline.
 	Span time.Duration
 }
 
-// Outcome is how one move went.
+// Outcome is the result of one simulated move.
 type Outcome struct {
 	Verdict document.Verdict
 	InTime  bool
-	// Requests is all, Harmed those that met a fault of the new version.
+	// Requests is the number of all requests, and Harmed the number of those affected
+	// by a fault of the new version.
 	Requests int
 	Harmed   int
-	// MostShare is the largest share the version had while it was faulty.
+	// MostShare is the largest traffic share of the new version at a request affected
+	// by its fault.
 	MostShare float64
-	// FaultToNone is the time from the first fault that showed to the last
-	// request sent to the version.
+	// FaultToNone is the time from the first request affected by a fault of the new
+	// version to the last request sent to that version.
 	FaultToNone time.Duration
 }
 
 const (
-	// upstreams run each version; routes are workspace and action.
+	// upstreams is the number of upstreams of each version, and routes the number of
+	// combinations of workspace and action.
 	upstreams = 5
 	routes    = 10
-	// baseFailures is the share of runs that fail with any version.
-	baseFailures = 0.004
-	// badFailures is the share that fail with a bad one, where it is bad.
-	badFailures = 0.35
-	// slowFactor is how much slower a slow version is.
+	// baseFailureRate is the share of runs that fail on any version.
+	baseFailureRate = 0.004
+	// faultyFailureRate is the share of runs that fail where a version is faulty.
+	faultyFailureRate = 0.35
+	// slowFactor is the factor by which a slow version increases latency.
 	slowFactor = 4
-	// stepEvery and tellEvery are the pace of the duty and of evidence.
-	stepEvery = time.Second
-	// braked agents and entries stop at once; others hear of it after this.
-	hearAfter = time.Second
-	// loadShare is the share of traffic from which an under-load fault shows.
-	loadShare = 0.4
-	// laterPart is the part of the time after which a later fault begins.
-	laterPart = 0.3
-	// entries is the number of entries, each with a brake of its own.
+	// stepInterval is the interval between steps of the process that leads the move.
+	stepInterval = time.Second
+	// propagationDelay is the time after which other processes know of a brake; the
+	// agent or entry that brakes stops at once.
+	propagationDelay = time.Second
+	// overloadShare is the traffic share from which the fault of UnderLoad occurs.
+	overloadShare = 0.4
+	// laterFaultStart is the fraction of the span after which the fault of Later begins.
+	laterFaultStart = 0.3
+	// entries is the number of entries, each with its own brake.
 	entries = 3
 )
 
-// play is one move under way.
-type play struct {
-	setting Setting
-	random  *rand.Rand
-	wish    rules.Move
-	start   time.Time
-	state   document.MoveState
-	known   bool
-	agents  [2][upstreams]*evidence.Board
-	braked  [upstreams]bool
-	brakeAt time.Time
-	watch   *evidence.Watch
-	agent   [upstreams]*evidence.Brake
-	local   [entries]*evidence.Brake
-	stopped [entries]bool
-	stage   *evidence.Board
-	stageOf document.MoveState
-	out     Outcome
-	faultAt time.Time
-	lastNew time.Time
+// simulation is the state of one simulated move.
+type simulation struct {
+	setting       Setting
+	random        *rand.Rand
+	rule          rules.Move
+	start         time.Time
+	state         document.MoveState
+	hasState      bool
+	boards        [2][upstreams]*evidence.Board
+	agentBraked   [upstreams]bool
+	firstBrakedAt time.Time
+	watch         *evidence.Watch
+	agentBrakes   [upstreams]*evidence.Brake
+	entryBrakes   [entries]*evidence.Brake
+	entryStopped  [entries]bool
+	stage         *evidence.Board
+	stageState    document.MoveState
+	outcome       Outcome
+	firstFaultAt  time.Time
+	lastNewRunAt  time.Time
 }
 
-// Run plays one move to its end.
+// Run simulates one move to its end.
 func Run(s Setting) (Outcome, error) {
-	p, err := newPlay(s)
+	sim, err := newSimulation(s)
 	if err != nil {
 		return Outcome{}, err
 	}
-	end := p.start.Add(s.Span + s.Span/10)
-	step := p.start
-	for now, number := p.start, 0; now.Before(end); number++ {
-		now = now.Add(time.Duration(p.random.ExpFloat64() / s.Rate * float64(time.Second)))
+	end := sim.start.Add(s.Span + s.Span/10)
+	step := sim.start
+	for now, number := sim.start, 0; now.Before(end); number++ {
+		now = now.Add(time.Duration(sim.random.ExpFloat64() / s.Rate * float64(time.Second)))
 		for !step.After(now) {
-			p.step(step)
-			step = step.Add(stepEvery)
+			sim.step(step)
+			step = step.Add(stepInterval)
 		}
-		p.request(now, number)
-		if p.known && p.state.Verdict() == document.TakenBack {
+		sim.request(now, number)
+		if sim.hasState && sim.state.Verdict() == document.TakenBack {
 			break
 		}
 	}
-	p.out.Verdict = p.state.Verdict()
-	p.out.InTime = p.state.Verdict() == document.Completed && !p.state.Since().After(p.wish.By())
-	if !p.faultAt.IsZero() && p.lastNew.After(p.faultAt) {
-		p.out.FaultToNone = p.lastNew.Sub(p.faultAt)
+	sim.outcome.Verdict = sim.state.Verdict()
+	sim.outcome.InTime = sim.state.Verdict() == document.Completed && !sim.state.Since().After(sim.rule.By())
+	if !sim.firstFaultAt.IsZero() && sim.lastNewRunAt.After(sim.firstFaultAt) {
+		sim.outcome.FaultToNone = sim.lastNewRunAt.Sub(sim.firstFaultAt)
 	}
-	return p.out, nil
+	return sim.outcome, nil
 }
 
-func newPlay(s Setting) (*play, error) {
+func newSimulation(s Setting) (*simulation, error) {
 	start := time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
-	wish, err := wishOf(start, start.Add(s.Span))
+	rule, err := newMoveRule(start, start.Add(s.Span))
 	if err != nil {
 		return nil, err
 	}
-	p := &play{setting: s, random: rand.New(rand.NewPCG(s.Seed, 5)), wish: wish, start: start, stage: evidence.NewBoard(), watch: evidence.NewWatch()}
-	for version := range p.agents {
-		for i := range p.agents[version] {
-			p.agents[version][i] = evidence.NewBoard()
+	sim := &simulation{setting: s, random: rand.New(rand.NewPCG(s.Seed, 5)), rule: rule, start: start, stage: evidence.NewBoard(), watch: evidence.NewWatch()}
+	for version := range sim.boards {
+		for i := range sim.boards[version] {
+			sim.boards[version][i] = evidence.NewBoard()
 		}
 	}
-	for i := range p.agent {
-		p.agent[i] = evidence.NewBrake()
+	for i := range sim.agentBrakes {
+		sim.agentBrakes[i] = evidence.NewBrake()
 	}
-	for i := range p.local {
-		p.local[i] = evidence.NewBrake()
+	for i := range sim.entryBrakes {
+		sim.entryBrakes[i] = evidence.NewBrake()
 	}
-	return p, nil
+	return sim, nil
 }
 
-// wishOf builds the move as operators write it.
-func wishOf(start, by time.Time) (rules.Move, error) {
+// newMoveRule builds the move by parsing an inventory and rules.
+func newMoveRule(start, by time.Time) (rules.Move, error) {
 	inv, findings := inventory.Parse([]byte(`{"site":"s","failure-domains":{"a":{}},"workspaces":{"w":{}},
 		"services":{"tutor":{"kind":"model","versions":{"old":{},"new":{}},"actions":{"answer":{}}}}}`))
 	if len(findings) > 0 {
@@ -177,127 +181,128 @@
 	return parsed.Moves()[0], nil
 }
 
-// request draws one request and runs it.
-func (p *play) request(now time.Time, number int) {
-	p.out.Requests++
-	entry := p.random.IntN(entries)
-	route := fmt.Sprintf("route-%d", p.random.IntN(routes))
-	fresh := p.goesNew(now, entry, fmt.Sprintf("%d-%d", p.setting.Seed, number))
-	upstream := p.random.IntN(upstreams)
-	if fresh && p.braked[upstream] {
-		fresh = false
+// request generates and runs one request.
+func (sim *simulation) request(now time.Time, number int) {
+	sim.outcome.Requests++
+	entry := sim.random.IntN(entries)
+	route := fmt.Sprintf("route-%d", sim.random.IntN(routes))
+	onNew := sim.routesToNew(now, entry, fmt.Sprintf("%d-%d", sim.setting.Seed, number))
+	upstream := sim.random.IntN(upstreams)
+	if onNew && sim.agentBraked[upstream] {
+		onNew = false
 	}
-	failed, latency := p.run(now, fresh, route)
+	failed, latency := sim.run(now, onNew, route)
 	version := 0
-	if fresh {
+	if onNew {
 		version = 1
-		p.lastNew = now
+		sim.lastNewRunAt = now
 	}
-	board := p.agents[version][upstream]
+	board := sim.boards[version][upstream]
 	board.Observe([]string{"old", "new"}[version], route, failed, latency)
-	p.brakes(now, fresh, entry, upstream, route, failed)
+	sim.updateBrakes(now, onNew, entry, upstream, route, failed)
 }
 
-func (p *play) goesNew(now time.Time, entry int, id string) bool {
-	if !p.known || p.state.Verdict() == document.TakenBack || p.stopped[entry] {
+func (sim *simulation) routesToNew(now time.Time, entry int, id string) bool {
+	if !sim.hasState || sim.state.Verdict() == document.TakenBack || sim.entryStopped[entry] {
 		return false
 	}
-	if p.state.Verdict() == document.Completed {
+	if sim.state.Verdict() == document.Completed {
 		return true
 	}
-	heard := !p.brakeAt.IsZero() && now.Sub(p.brakeAt) > hearAfter
-	return !heard && move.Chosen(p.wish, id, p.state.Share())
+	brakeKnown := !sim.firstBrakedAt.IsZero() && now.Sub(sim.firstBrakedAt) > propagationDelay
+	return !brakeKnown && move.Chosen(sim.rule, id, sim.state.Share())
 }
 
-// run draws how a run goes.
-func (p *play) run(now time.Time, fresh bool, route string) (failed bool, latency time.Duration) {
-	latency = time.Duration((80 + 60*p.random.ExpFloat64()) * float64(time.Millisecond))
-	rate := baseFailures
-	if fresh && p.faulty(now, route) {
-		if p.setting.Kind == SlowNow {
+// run draws the result and latency of one run.
+func (sim *simulation) run(now time.Time, onNew bool, route string) (failed bool, latency time.Duration) {
+	latency = time.Duration((80 + 60*sim.random.ExpFloat64()) * float64(time.Millisecond))
+	rate := baseFailureRate
+	if onNew && sim.faulty(now, route) {
+		if sim.setting.Kind == SlowNow {
 			latency *= slowFactor
-			p.harm(now)
+			sim.recordHarm(now)
 		} else {
-			rate = badFailures
+			rate = faultyFailureRate
 		}
 	}
-	failed = p.random.Float64() < rate
-	if failed && rate == badFailures {
-		p.harm(now)
+	failed = sim.random.Float64() < rate
+	if failed && rate == faultyFailureRate {
+		sim.recordHarm(now)
 	}
 	return failed, latency
 }
 
-func (p *play) harm(now time.Time) {
-	p.out.Harmed++
-	if p.faultAt.IsZero() {
-		p.faultAt = now
+func (sim *simulation) recordHarm(now time.Time) {
+	sim.outcome.Harmed++
+	if sim.firstFaultAt.IsZero() {
+		sim.firstFaultAt = now
 	}
-	p.out.MostShare = max(p.out.MostShare, p.state.Share())
+	sim.outcome.MostShare = max(sim.outcome.MostShare, sim.state.Share())
 }
 
-func (p *play) faulty(now time.Time, route string) bool {
-	switch p.setting.Kind {
+func (sim *simulation) faulty(now time.Time, route string) bool {
+	switch sim.setting.Kind {
 	case FailsNow, SlowNow:
 		return true
 	case Later:
-		return now.Sub(p.start) > time.Duration(laterPart*float64(p.setting.Span))
+		return now.Sub(sim.start) > time.Duration(laterFaultStart*float64(sim.setting.Span))
 	case UnderLoad:
-		return p.state.Share() >= loadShare
+		return sim.state.Share() >= overloadShare
 	case OneRoute:
 		return route == "route-0"
 	}
 	return false
 }
 
-// brakes are those of the agent and of the entry, without store or duty.
-func (p *play) brakes(now time.Time, fresh bool, entry, upstream int, route string, failed bool) {
-	moving := p.known && p.state.Verdict() == document.Moving
-	if !fresh || !moving {
+// updateBrakes records the result of a run on the new version in the brakes of its agent
+// and entry, which need neither the store nor the leader of the move.
+func (sim *simulation) updateBrakes(now time.Time, onNew bool, entry, upstream int, route string, failed bool) {
+	moving := sim.hasState && sim.state.Verdict() == document.Moving
+	if !onNew || !moving {
 		return
 	}
-	if p.agent[upstream].Observe(route, failed) {
-		p.braked[upstream] = true
-		if p.brakeAt.IsZero() {
-			p.brakeAt = now
+	if sim.agentBrakes[upstream].Observe(route, failed) {
+		sim.agentBraked[upstream] = true
+		if sim.firstBrakedAt.IsZero() {
+			sim.firstBrakedAt = now
 		}
 	}
-	p.stopped[entry] = p.local[entry].Observe(route, failed) || p.stopped[entry]
+	sim.entryStopped[entry] = sim.entryBrakes[entry].Observe(route, failed) || sim.entryStopped[entry]
 }
 
-// step is the duty's; with the store down nothing is recorded, and a paused
-// holder does nothing until another takes the lease.
-func (p *play) step(now time.Time) {
-	part := float64(now.Sub(p.start)) / float64(p.setting.Span)
-	if p.setting.Trouble == StoreOutage && part > 0.3 && part < 0.5 {
+// step runs one step of the process that leads the move. Nothing is recorded during a
+// store outage, and a paused leader does nothing until another takes over the lease.
+func (sim *simulation) step(now time.Time) {
+	fraction := float64(now.Sub(sim.start)) / float64(sim.setting.Span)
+	if sim.setting.Trouble == StoreOutage && fraction > 0.3 && fraction < 0.5 {
 		return
 	}
-	if p.setting.Trouble == PausedHolder && part > 0.3 && now.Sub(p.start) < time.Duration(0.3*float64(p.setting.Span))+12*time.Second {
+	if sim.setting.Trouble == PausedHolder && fraction > 0.3 && now.Sub(sim.start) < time.Duration(0.3*float64(sim.setting.Span))+12*time.Second {
 		return
 	}
-	for _, stopped := range p.stopped {
-		if stopped && p.state.Verdict() == document.Moving {
-			p.state = move.Stopped(now, p.wish, p.state, "an entry")
+	for _, stopped := range sim.entryStopped {
+		if stopped && sim.state.Verdict() == document.Moving {
+			sim.state = move.Stopped(now, sim.rule, sim.state, "an entry")
 			return
 		}
 	}
-	all := evidence.NewBoard()
-	for version := range p.agents {
-		for _, board := range p.agents[version] {
-			all.Merge(board)
+	merged := evidence.NewBoard()
+	for version := range sim.boards {
+		for _, board := range sim.boards[version] {
+			merged.Merge(board)
 		}
 	}
-	if p.state != p.stageOf {
-		p.stage, p.stageOf = all, p.state
+	if sim.state != sim.stageState {
+		sim.stage, sim.stageState = merged, sim.state
 	}
 	braked := 0
-	for _, b := range p.braked {
-		if b {
+	for _, isBraked := range sim.agentBraked {
+		if isBraked {
 			braked++
 		}
 	}
-	next, changed := move.Step(now, p.wish, p.state, p.known, move.Observed{All: all, Stage: all.Since(p.stage), Fault: p.watch.Update(all, "old", "new"), Braked: braked, Ready: true})
+	next, changed := move.Step(now, sim.rule, sim.state, sim.hasState, move.Observed{All: merged, Stage: merged.Since(sim.stage), Fault: sim.watch.Update(merged, "old", "new"), Braked: braked, Ready: true})
 	if changed {
-		p.state, p.known = next, true
+		sim.state, sim.hasState = next, true
 	}
 }
