--- a/internal/action/claim/owner.go
+++ b/internal/action/claim/owner.go
@@ -18,26 +18,27 @@
 
 var namespace = errorx.NewNamespace("claim")
 
-// Deposed means that another process owns the partition now.
+// Deposed means that this process no longer owns the partition, or cannot read
+// or write it.
 var Deposed = namespace.NewType("deposed")
 
 const (
-	// prefix is where partitions stand in the platform's store.
-	prefix = "persimmonridge/claims/"
-	// segmentBytes is about how large the open segment grows; each commit
-	// writes it whole.
-	segmentBytes = 16 << 10
-	// commitGap is the least time between two commits of a partition; what
-	// arrives meanwhile shares the next one. It bounds the writes: partitions
-	// times ten a second, however many actions there are.
-	commitGap = 100 * time.Millisecond
-	// settleMost is the longest pause between attempts of one commit.
-	settleMost = 500 * time.Millisecond
-	// asksHeld bounds the asks that wait for a partition.
-	asksHeld = 1024
+	// keyPrefix precedes the keys of all partitions in the platform's store.
+	keyPrefix = "persimmonridge/claims/"
+	// segmentTargetBytes is the approximate size at which the records of the
+	// tail move to a segment; each commit rewrites the whole tail.
+	segmentTargetBytes = 16 << 10
+	// commitInterval is the minimum time between two commits of a partition.
+	// Requests that arrive in between share the next commit, so that the write
+	// rate is at most ten per second and partition, for any number of actions.
+	commitInterval = 100 * time.Millisecond
+	// maxWriteBackoff is the longest pause between attempts of one write.
+	maxWriteBackoff = 500 * time.Millisecond
+	// requestQueueSize bounds the requests that are queued for a partition.
+	requestQueueSize = 1024
 )
 
-// Store is what claims need of the platform's service.
+// Store is the subset of the platform's store that claims use.
 type Store interface {
 	Get(ctx context.Context, priority store.Priority, key string) (store.Entry, error)
 	List(ctx context.Context, priority store.Priority, prefix string) ([]store.Entry, error)
@@ -45,9 +46,10 @@
 	Delete(ctx context.Context, key string, index uint64) (bool, error)
 }
 
-// tail is the one key of a partition that is swapped. Whoever owns the
-// partition has written it last; a swap with an older index fails, and that
-// is what fences an owner that was paused.
+// tail is the value of the only key of a partition that is replaced by
+// compare-and-swap. The owner of a partition is the process that wrote the
+// tail last. A swap with an older index fails, which fences a previous owner
+// that was paused.
 type tail struct {
 	Writer   string   `json:"writer"`
 	Sequence uint64   `json:"sequence"`
@@ -55,7 +57,7 @@
 	Records  []record `json:"records"`
 }
 
-// Partition is one partition while this process owns it.
+// Partition is a partition that this process owns.
 type Partition struct {
 	number int
 	store  Store
@@ -63,36 +65,36 @@
 	now    func() time.Time
 	writer string
 
-	index    uint64
-	open     tail
-	size     int
-	ledger   *ledger
-	segments map[string][]record
+	index     uint64
+	tail      tail
+	tailBytes int
+	ledger    *ledger
+	segments  map[string][]record
 
-	asks   chan *pendingAsk
-	cancel context.CancelFunc
-	ctx    context.Context
-	done   chan struct{}
+	requests chan *pendingRequest
+	cancel   context.CancelFunc
+	ctx      context.Context
+	done     chan struct{}
 
-	mu      sync.Mutex
-	commits uint64
-	grouped uint64
+	mu               sync.Mutex
+	commits          uint64
+	recordsCommitted uint64
 }
 
-// pendingAsk is one ask with the place for its reply.
-type pendingAsk struct {
-	ask   *wire.ClaimAsk
-	reply chan *wire.ClaimReply
+// pendingRequest is a request with the channel for its reply.
+type pendingRequest struct {
+	message *wire.ClaimAsk
+	reply   chan *wire.ClaimReply
 }
 
-// Open takes a partition over: it reads everything, then swaps the tail, from
-// which moment the previous owner can write no more.
+// Open takes over a partition: it reads all records, then swaps the tail,
+// after which every write of the previous owner fails.
 func Open(ctx context.Context, number int, s Store, logger *slog.Logger, now func() time.Time) (*Partition, error) {
 	runCtx, cancel := context.WithCancel(context.Background())
 	p := &Partition{
 		number: number, store: s, logger: logger, now: now, writer: rand.Text(),
 		ledger: newLedger(), segments: make(map[string][]record),
-		asks: make(chan *pendingAsk, asksHeld), ctx: runCtx, cancel: cancel, done: make(chan struct{}),
+		requests: make(chan *pendingRequest, requestQueueSize), ctx: runCtx, cancel: cancel, done: make(chan struct{}),
 	}
 	if err := p.load(ctx); err != nil {
 		cancel()
@@ -107,14 +109,14 @@
 	return p, nil
 }
 
-func (p *Partition) tailKey() string { return fmt.Sprintf("%s%04d/tail", prefix, p.number) }
+func (p *Partition) tailKey() string { return fmt.Sprintf("%s%04d/tail", keyPrefix, p.number) }
 
 func (p *Partition) segmentKey(name string) string {
-	return fmt.Sprintf("%s%04d/segment/%s", prefix, p.number, name)
+	return fmt.Sprintf("%s%04d/segment/%s", keyPrefix, p.number, name)
 }
 
-// load reads the tail first: a segment that the tail names was written before
-// it, and a segment is deleted only once no tail names it.
+// load reads the tail before the segments: a segment is written before the
+// tail that refers to it, and deleted only after a tail without it is written.
 func (p *Partition) load(ctx context.Context) error {
 	entry, err := p.store.Get(ctx, store.Claims, p.tailKey())
 	if err != nil {
@@ -124,13 +126,13 @@
 	if !entry.Exists() {
 		return nil
 	}
-	if err := json.Unmarshal(entry.Value(), &p.open); err != nil {
-		return Deposed.Wrap(err, "the claims of partition %d are unreadable; restore key %s", p.number, p.tailKey())
+	if err := json.Unmarshal(entry.Value(), &p.tail); err != nil {
+		return Deposed.Wrap(err, "claims of partition %d cannot be decoded; restore key %s", p.number, p.tailKey())
 	}
-	loaded := make([][]record, len(p.open.Segments))
+	loaded := make([][]record, len(p.tail.Segments))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(4)
-	for i, name := range p.open.Segments {
+	for i, name := range p.tail.Segments {
 		group.Go(func() error {
 			var err error
 			loaded[i], err = p.loadSegment(ctx, name)
@@ -140,12 +142,12 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	for i, name := range p.open.Segments {
+	for i, name := range p.tail.Segments {
 		p.segments[name] = loaded[i]
 		p.commitAll(loaded[i])
 	}
-	p.commitAll(p.open.Records)
-	p.size = measure(p.open.Records)
+	p.commitAll(p.tail.Records)
+	p.tailBytes = estimateBytes(p.tail.Records)
 	return nil
 }
 
@@ -156,7 +158,7 @@
 	}
 	var records []record
 	if err := json.Unmarshal(entry.Value(), &records); err != nil {
-		return nil, Deposed.Wrap(err, "segment %s of partition %d is missing or unreadable; another owner has moved on, or restore the key", name, p.number)
+		return nil, Deposed.Wrap(err, "segment %s of partition %d is missing or cannot be decoded; unless another owner has taken over, restore the key", name, p.number)
 	}
 	return records, nil
 }
@@ -167,147 +169,149 @@
 	}
 }
 
-// Ask puts a question to the owner and waits for its reply. An UNAVAILABLE
-// reply means that no claim is granted; a claim that a lost write leaves
-// behind anyway names a request that is never dispatched, and the next asker
-// finds that out.
+// Ask passes a request to the owner and waits for its reply. An UNAVAILABLE
+// reply means that no claim is granted. A write whose response was lost may
+// still store a claim; its request is never dispatched, which the next request
+// for the same key finds out.
 func (p *Partition) Ask(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
-	question := &pendingAsk{ask: ask, reply: make(chan *wire.ClaimReply, 1)}
+	request := &pendingRequest{message: ask, reply: make(chan *wire.ClaimReply, 1)}
 	select {
-	case p.asks <- question:
+	case p.requests <- request:
 	case <-ctx.Done():
-		return unavailable("the claims' owner is busy")
+		return unavailableReply("request queue of the claim owner is full")
 	case <-p.done:
 		return &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	}
 	select {
-	case reply := <-question.reply:
+	case reply := <-request.reply:
 		return reply
 	case <-ctx.Done():
-		return unavailable("the platform's store did not answer in time")
+		return unavailableReply("claim was not written to the platform's store in time")
 	case <-p.done:
 		return &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	}
 }
 
-// Done is closed when the partition is no longer owned.
+// Done returns a channel that is closed when this process no longer owns the
+// partition.
 func (p *Partition) Done() <-chan struct{} { return p.done }
 
-// Commits returns the number of commits and of records in them.
+// Commits returns the number of commits and of the records written by them.
 func (p *Partition) Commits() (commits, records uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.commits, p.grouped
+	return p.commits, p.recordsCommitted
 }
 
-// Close gives the partition up and waits.
+// Close releases the partition and waits until its goroutine has ended.
 func (p *Partition) Close() error {
 	p.cancel()
 	<-p.done
 	return nil
 }
 
-// staged is a decision that waits for the next commit.
-type staged struct {
-	question *pendingAsk
-	record   record
-	reply    *wire.ClaimReply
+// stagedWrite is a record that the next commit writes, with the reply to send
+// after it.
+type stagedWrite struct {
+	request *pendingRequest
+	record  record
+	reply   *wire.ClaimReply
 }
 
-// run answers asks: at once where nothing is written, else with the next
-// commit, for which all that arrives meanwhile is gathered.
+// run answers requests: immediately if nothing has to be written, otherwise
+// after the next commit, which covers all requests received until then.
 func (p *Partition) run() {
 	defer close(p.done)
-	var batch []staged
-	var busy []*pendingAsk
+	var batch []stagedWrite
+	var deferred []*pendingRequest
 	due := time.NewTimer(0)
 	defer due.Stop()
 	for ready := false; ; {
 		select {
 		case <-p.ctx.Done():
 			return
-		case question := <-p.asks:
-			batch, busy = p.decide(question, batch, busy)
+		case request := <-p.requests:
+			batch, deferred = p.decide(request, batch, deferred)
 		case <-due.C:
 			ready = true
 		}
-		batch, busy = p.gather(batch, busy)
+		batch, deferred = p.drainQueue(batch, deferred)
 		if !ready || len(batch) == 0 {
 			continue
 		}
 		if err := p.commit(batch); err != nil {
-			p.logger.Warn("claims given up", "partition", p.number, "error", err.Error())
+			p.logger.Warn("partition of claims lost", "partition", p.number, "error", err.Error())
 			return
 		}
-		again := busy
-		batch, busy, ready = nil, nil, false
-		for _, question := range again {
-			batch, busy = p.decide(question, batch, busy)
+		retried := deferred
+		batch, deferred, ready = nil, nil, false
+		for _, request := range retried {
+			batch, deferred = p.decide(request, batch, deferred)
 		}
-		due.Reset(commitGap)
+		due.Reset(commitInterval)
 	}
 }
 
-// gather decides on all asks that have arrived.
-func (p *Partition) gather(batch []staged, busy []*pendingAsk) ([]staged, []*pendingAsk) {
+// drainQueue decides all queued requests.
+func (p *Partition) drainQueue(batch []stagedWrite, deferred []*pendingRequest) ([]stagedWrite, []*pendingRequest) {
 	for {
 		select {
-		case question := <-p.asks:
-			batch, busy = p.decide(question, batch, busy)
+		case request := <-p.requests:
+			batch, deferred = p.decide(request, batch, deferred)
 		default:
-			return batch, busy
+			return batch, deferred
 		}
 	}
 }
 
-// decide answers an ask, stages its write, or keeps it back while a write for
+// decide answers a request, stages its write, or defers it while a write for
 // the same key is staged.
-func (p *Partition) decide(question *pendingAsk, batch []staged, busy []*pendingAsk) ([]staged, []*pendingAsk) {
-	d := p.ledger.ask(p.now(), question.ask)
+func (p *Partition) decide(request *pendingRequest, batch []stagedWrite, deferred []*pendingRequest) ([]stagedWrite, []*pendingRequest) {
+	d := p.ledger.handle(p.now(), request.message)
 	switch {
 	case d.wait:
-		busy = append(busy, question)
+		deferred = append(deferred, request)
 	case d.write == nil:
-		question.reply <- d.reply
+		request.reply <- d.reply
 	default:
-		batch = append(batch, staged{question: question, record: *d.write, reply: d.reply})
+		batch = append(batch, stagedWrite{request: request, record: *d.write, reply: d.reply})
 	}
-	return batch, busy
+	return batch, deferred
 }
 
-// commit writes a batch down, then gives its replies.
-func (p *Partition) commit(batch []staged) error {
+// commit writes a batch to the store, then sends its replies.
+func (p *Partition) commit(batch []stagedWrite) error {
 	records := make([]record, 0, len(batch))
 	for _, s := range batch {
 		records = append(records, s.record)
 	}
-	p.open.Records = append(p.open.Records, records...)
-	p.size += measure(records)
+	p.tail.Records = append(p.tail.Records, records...)
+	p.tailBytes += estimateBytes(records)
 	if err := p.swap(p.ctx); err != nil {
 		return err
 	}
 	p.commitAll(records)
 	for _, s := range batch {
-		s.question.reply <- s.reply
+		s.request.reply <- s.reply
 	}
 	p.mu.Lock()
 	p.commits++
-	p.grouped += uint64(len(records))
+	p.recordsCommitted += uint64(len(records))
 	p.mu.Unlock()
-	if p.size > segmentBytes {
-		return p.roll()
+	if p.tailBytes > segmentTargetBytes {
+		return p.rollSegment()
 	}
 	return nil
 }
 
-// swap writes the tail and learns its new index. An answer that was lost is
-// settled by reading back: the writer's mark and sequence tell whether the
-// write took effect, whether it may be tried again, or whether another owner
-// has taken over.
+// swap writes the tail and reads it back for its new index. As the response to
+// the write may be lost, the writer and the sequence in the stored tail decide
+// whether the write took effect, may be repeated, or was prevented by another
+// owner.
 func (p *Partition) swap(ctx context.Context) error {
-	p.open.Writer = p.writer
-	p.open.Sequence++
-	raw, err := json.Marshal(p.open)
+	p.tail.Writer = p.writer
+	p.tail.Sequence++
+	raw, err := json.Marshal(p.tail)
 	if err != nil {
 		return err
 	}
@@ -315,69 +319,70 @@
 		_, swapErr := p.store.Swap(ctx, store.Claims, p.tailKey(), raw, p.index)
 		entry, readErr := p.store.Get(ctx, store.Claims, p.tailKey())
 		if readErr == nil {
-			took, err := p.settle(entry)
-			if took || err != nil {
+			applied, err := p.confirmSwap(entry)
+			if applied || err != nil {
 				return err
 			}
 		}
 		if swapErr == nil && readErr == nil {
-			return Deposed.New("partition %d could not be swapped although its index stands; look at the platform's service", p.number)
+			return Deposed.New("swap of partition %d failed although its index is unchanged; check the platform's store", p.number)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(store.Backoff(attempt, settleMost)):
+		case <-time.After(store.Backoff(attempt, maxWriteBackoff)):
 		}
 	}
 }
 
-func (p *Partition) settle(entry store.Entry) (bool, error) {
+// confirmSwap reports whether the last swap took effect, given the stored tail.
+func (p *Partition) confirmSwap(entry store.Entry) (bool, error) {
 	if entry.Index() == p.index {
 		return false, nil
 	}
-	var seen tail
-	if err := json.Unmarshal(entry.Value(), &seen); err != nil {
-		return false, Deposed.Wrap(err, "the claims of partition %d are unreadable; restore key %s", p.number, p.tailKey())
+	var stored tail
+	if err := json.Unmarshal(entry.Value(), &stored); err != nil {
+		return false, Deposed.Wrap(err, "claims of partition %d cannot be decoded; restore key %s", p.number, p.tailKey())
 	}
-	if seen.Writer != p.writer || seen.Sequence != p.open.Sequence {
-		return false, Deposed.New("partition %d was taken over; ask its new owner", p.number)
+	if stored.Writer != p.writer || stored.Sequence != p.tail.Sequence {
+		return false, Deposed.New("partition %d was taken over by another owner", p.number)
 	}
 	p.index = entry.Index()
 	return true, nil
 }
 
-// roll moves the open records to a segment of their own, and leaves out
-// segments in which nothing is live any more.
-func (p *Partition) roll() error {
+// rollSegment moves the records of the tail to a new segment and drops
+// segments that have no live records.
+func (p *Partition) rollSegment() error {
 	now := p.now()
 	p.ledger.expire(now)
-	name := fmt.Sprintf("%012d-%s", p.open.Sequence, p.writer)
-	raw, err := json.Marshal(p.open.Records)
+	name := fmt.Sprintf("%012d-%s", p.tail.Sequence, p.writer)
+	raw, err := json.Marshal(p.tail.Records)
 	if err != nil {
 		return err
 	}
 	if err := p.writeSegment(name, raw); err != nil {
 		return err
 	}
-	p.segments[name] = p.open.Records
+	p.segments[name] = p.tail.Records
 	var kept, dead []string
-	for _, segment := range append(p.open.Segments, name) {
+	for _, segment := range append(p.tail.Segments, name) {
 		if p.anyLive(now, p.segments[segment]) {
 			kept = append(kept, segment)
 			continue
 		}
 		dead = append(dead, segment)
 	}
-	p.open.Segments, p.open.Records, p.size = kept, nil, 0
+	p.tail.Segments, p.tail.Records, p.tailBytes = kept, nil, 0
 	if err := p.swap(p.ctx); err != nil {
 		return err
 	}
-	p.discard(dead)
+	p.deleteSegments(dead)
 	return nil
 }
 
-// writeSegment repeats until an answer comes: the name is ours alone, so
-// writing it again changes nothing.
+// writeSegment retries until the store responds. Repeating the write is safe
+// because no other process uses the segment's name.
 func (p *Partition) writeSegment(name string, raw []byte) error {
 	for attempt := 0; ; attempt++ {
 		if _, err := p.store.Swap(p.ctx, store.Claims, p.segmentKey(name), raw, 0); err == nil {
@@ -386,14 +391,14 @@
 		select {
 		case <-p.ctx.Done():
 			return p.ctx.Err()
-		case <-time.After(store.Backoff(attempt, settleMost)):
+		case <-time.After(store.Backoff(attempt, maxWriteBackoff)):
 		}
 	}
 }
 
-// discard deletes segments that no tail names; a failure leaves a key behind
-// that nobody reads.
-func (p *Partition) discard(names []string) {
+// deleteSegments deletes segments that the tail no longer refers to. A failure
+// leaves a key that is never read.
+func (p *Partition) deleteSegments(names []string) {
 	for _, name := range names {
 		delete(p.segments, name)
 		entry, err := p.store.Get(p.ctx, store.Housekeeping, p.segmentKey(name))
@@ -406,16 +411,16 @@
 
 func (p *Partition) anyLive(now time.Time, records []record) bool {
 	for _, r := range records {
-		if p.ledger.live(now, r) {
+		if p.ledger.isLive(now, r) {
 			return true
 		}
 	}
 	return false
 }
 
-// measure estimates the bytes of records as written.
-func measure(records []record) int {
-	// recordOverhead is the bytes of a record's field names and numbers.
+// estimateBytes estimates the encoded size of records.
+func estimateBytes(records []record) int {
+	// recordOverhead is the size of a record's field names and numbers, in bytes.
 	const recordOverhead = 200
 	total := 0
 	for _, r := range records {
--- a/internal/action/claim/owner_test.go
+++ b/internal/action/claim/owner_test.go
@@ -19,10 +19,10 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/platform"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// world starts the platform's stand-ins and returns them with a client.
-func world(t *testing.T) (*platform.Platform, *store.Client) {
+// newPlatform starts the simulated platform and returns it with a store client.
+func newPlatform(t *testing.T) (*platform.Platform, *store.Client) {
 	net := network.New()
 	p, err := platform.New(net, 1)
 	require.NoError(t, err)
@@ -38,46 +38,45 @@
 	return &wire.ClaimAsk{Step: wire.ClaimAsk_STEP_CLAIM, Key: key, RequestId: request, Upstream: "booking-00", Incarnation: 1}
 }
 
-// Two seats are taken for one learner, because two entries both believed they
-// kept the claims.
-// The first owner is paused, the second takes the partition over, the first
-// wakes and goes on as if nothing had happened. Its next write fails, and it
-// grants nothing.
+// Guards against one action running twice because two entries both consider
+// themselves the owner of a partition: the first owner is paused while the
+// second takes over, then resumes. Its next write must fail, and it must grant
+// nothing.
 func TestPausedOwnerGrantsNothing(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		_, client := world(t)
+		_, client := newPlatform(t)
 		ctx := context.Background()
-		first, err := Open(ctx, 0, client, quiet, time.Now)
+		first, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
 		require.Equal(t, wire.ClaimReply_STATE_GRANTED, first.Ask(ctx, claimAsk("a", "r1")).GetState())
-		second, err := Open(ctx, 0, client, quiet, time.Now)
+		second, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
 		require.Equal(t, wire.ClaimReply_STATE_GRANTED, second.Ask(ctx, claimAsk("b", "r2")).GetState())
 		require.Equal(t, wire.ClaimReply_STATE_NOT_OWNER, first.Ask(ctx, claimAsk("b", "r3")).GetState())
-		require.Equal(t, wire.ClaimReply_STATE_HELD, second.Ask(ctx, claimAsk("a", "r4")).GetState(), "what the first one granted is known")
+		require.Equal(t, wire.ClaimReply_STATE_HELD, second.Ask(ctx, claimAsk("a", "r4")).GetState(), "the second owner must know the claims granted by the first")
 		require.NoError(t, first.Close())
 		require.NoError(t, second.Close())
 	})
 }
 
-// A payment is claimed, the store takes the write and loses its answer, half
-// the time. Every claim must be granted to exactly one of two tries, and a
-// later owner must know all of them.
+// Guards against double grants when the store applies a write but its response
+// is lost, here for half of all writes. Every claim must be granted to exactly
+// one of two attempts, and a later owner must know all claims.
 func TestLostAnswersGrantOnce(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		p, client := world(t)
+		p, client := newPlatform(t)
 		ctx := context.Background()
-		owner, err := Open(ctx, 0, client, quiet, time.Now)
+		owner, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
 		p.Store().SetFaults(kv.Faults{LoseAnswers: 0.5})
 		var mu sync.Mutex
 		grants := make(map[string]int)
-		var asking sync.WaitGroup
+		var pending sync.WaitGroup
 		for i := range 200 {
-			for _, try := range []string{"x", "y"} {
-				asking.Go(func() {
+			for _, attempt := range []string{"x", "y"} {
+				pending.Go(func() {
 					key := fmt.Sprint(i)
-					reply := owner.Ask(ctx, claimAsk(key, key+try))
+					reply := owner.Ask(ctx, claimAsk(key, key+attempt))
 					mu.Lock()
 					defer mu.Unlock()
 					if reply.GetState() == wire.ClaimReply_STATE_GRANTED {
@@ -87,13 +86,13 @@
 			}
 			bubble.Pass(5 * time.Millisecond)
 		}
-		asking.Wait()
+		pending.Wait()
 		require.Len(t, grants, 200)
-		for key, times := range grants {
-			require.Equal(t, 1, times, key)
+		for key, count := range grants {
+			require.Equal(t, 1, count, key)
 		}
 		p.Store().SetFaults(kv.Faults{})
-		later, err := Open(ctx, 0, client, quiet, time.Now)
+		later, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
 		for key := range grants {
 			require.Equal(t, wire.ClaimReply_STATE_HELD, later.Ask(ctx, claimAsk(key, "late")).GetState())
@@ -103,24 +102,24 @@
 	})
 }
 
-// Writes must grow with commits, not with actions: what arrives while a commit
-// is under way shares the next one.
+// Guards against a write to the store per action: claims that arrive during a
+// commit must share the next one.
 func TestClaimsShareCommits(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		p, client := world(t)
+		p, client := newPlatform(t)
 		ctx := context.Background()
-		owner, err := Open(ctx, 0, client, quiet, time.Now)
+		owner, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
 		p.Store().SetFaults(kv.Faults{SlowMS: 5})
-		var asking sync.WaitGroup
+		var pending sync.WaitGroup
 		for i := range 1000 {
-			asking.Go(func() { owner.Ask(ctx, claimAsk(fmt.Sprint(i), fmt.Sprint("r", i))) })
+			pending.Go(func() { owner.Ask(ctx, claimAsk(fmt.Sprint(i), fmt.Sprint("r", i))) })
 			bubble.Pass(time.Millisecond)
 		}
-		asking.Wait()
+		pending.Wait()
 		commits, records := owner.Commits()
 		require.Equal(t, uint64(1000), records)
-		require.Less(t, commits, uint64(15), "a thousand actions in a second")
+		require.Less(t, commits, uint64(15), "commits for 1000 actions within one second")
 		require.NoError(t, owner.Close())
 	})
 }
--- a/internal/action/claim/partition.go
+++ b/internal/action/claim/partition.go
@@ -1,8 +1,8 @@
-// Package claim keeps actions that may never repeat from running twice. A
-// caller's idempotency key names an action across resends, so a claim is
-// written down before the dispatch, where any entry finds it. Keys are cut
-// into partitions; the owner of a partition groups all claims that are under
-// way into one write.
+// Package claim prevents non-idempotent actions from running twice. A caller's
+// idempotency key identifies an action across resends; a claim on the key is
+// stored before the dispatch, where every entry can read it. Keys are divided
+// into partitions, and the owner of a partition batches concurrent claims into
+// one write.
 package claim
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/persimmonridge/persimmonridge/internal/fleet/wire"
 )
 
-// Keep is how long an action is known by its key.
+// Keep is how long the record of an action is retained.
 const Keep = 24 * time.Hour
 
-// state is where an action stands.
+// state is the state of an action.
 type state string
 
 const (
@@ -25,7 +25,7 @@
 	released state = "released"
 )
 
-// record is one transition of one action, as it is written down.
+// record is a state transition of an action in its stored form.
 type record struct {
 	Key         string      `json:"key"`
 	State       state       `json:"state"`
@@ -37,7 +37,7 @@
 	At          time.Time   `json:"at"`
 }
 
-// answerJSON is a finished action's outcome.
+// answerJSON is the stored form of a finished action's response.
 type answerJSON struct {
 	Outcome int32       `json:"outcome"`
 	Status  uint32      `json:"status"`
@@ -51,17 +51,17 @@
 	return int(xxhash.Sum64String(key) % uint64(partitions))
 }
 
-// decision is what becomes of one ask: an answer at once, or a record that
-// must be written before the answer is given.
+// decision is the result of a request: a reply and, if write is set, a record
+// that must be stored before the reply is sent.
 type decision struct {
 	reply *wire.ClaimReply
 	write *record
-	// wait is set while a write for the same key is under way.
+	// wait means that a write for the same key is in progress.
 	wait bool
 }
 
-// ledger is what the owner of a partition knows. It decides and does no I/O.
-// It is not safe for concurrent use.
+// ledger holds the state of a partition's actions in memory and decides
+// requests on it, without I/O. It is not safe for concurrent use.
 type ledger struct {
 	committed map[string]record
 	pending   map[string]bool
@@ -71,9 +71,9 @@
 	return &ledger{committed: make(map[string]record), pending: make(map[string]bool)}
 }
 
-// ask decides. A record it returns must be passed to commit once it is
-// written down.
-func (l *ledger) ask(now time.Time, a *wire.ClaimAsk) decision {
+// handle decides a request. A record that it returns must be passed to commit
+// after it is stored.
+func (l *ledger) handle(now time.Time, a *wire.ClaimAsk) decision {
 	key := a.GetKey()
 	if l.pending[key] {
 		return decision{wait: true}
@@ -90,61 +90,62 @@
 }
 
 func (l *ledger) decide(now time.Time, a *wire.ClaimAsk, known record, exists bool) decision {
-	mine := exists && known.State == held && known.RequestID == a.GetRequestId()
+	isHolder := exists && known.State == held && known.RequestID == a.GetRequestId()
 	switch a.GetStep() {
 	case wire.ClaimAsk_STEP_CLAIM:
 		return l.claim(now, a, known, exists)
 	case wire.ClaimAsk_STEP_DISPATCH:
-		if !mine {
-			return l.standing(known, exists)
+		if !isHolder {
+			return l.currentState(known, exists)
 		}
-		return decision{write: fresh(now, a), reply: granted()}
+		return decision{write: newRecord(now, a), reply: grantedReply()}
 	case wire.ClaimAsk_STEP_FINISH:
-		if !mine {
-			return decision{reply: done()}
+		if !isHolder {
+			return decision{reply: doneReply()}
 		}
-		r := fresh(now, a)
+		r := newRecord(now, a)
 		r.State, r.Fingerprint, r.Upstream, r.Incarnation = finished, known.Fingerprint, known.Upstream, known.Incarnation
 		r.Answer = toJSON(a.GetAnswer())
-		return decision{write: r, reply: done()}
+		return decision{write: r, reply: doneReply()}
 	case wire.ClaimAsk_STEP_RELEASE:
-		if !mine {
-			return decision{reply: done()}
+		if !isHolder {
+			return decision{reply: doneReply()}
 		}
-		r := fresh(now, a)
+		r := newRecord(now, a)
 		r.State = released
-		return decision{write: r, reply: done()}
+		return decision{write: r, reply: doneReply()}
 	}
-	return decision{reply: &wire.ClaimReply{State: wire.ClaimReply_STATE_UNAVAILABLE, Detail: "unknown step"}}
+	return decision{reply: &wire.ClaimReply{State: wire.ClaimReply_STATE_UNAVAILABLE, Detail: "unknown claim step"}}
 }
 
-// claim grants a key that is free, or whose holder was proven not to have run.
+// claim grants a key that is free or whose holder was proven not to have run.
 func (l *ledger) claim(now time.Time, a *wire.ClaimAsk, known record, exists bool) decision {
 	if !exists {
-		return decision{write: fresh(now, a), reply: granted()}
+		return decision{write: newRecord(now, a), reply: grantedReply()}
 	}
 	if known.Fingerprint != a.GetFingerprint() {
 		return decision{reply: &wire.ClaimReply{State: wire.ClaimReply_STATE_MISMATCH}}
 	}
-	if known.State == held && proven(known, a.GetReplaces()) || known.State == held && known.RequestID == a.GetRequestId() {
-		return decision{write: fresh(now, a), reply: granted()}
+	if known.State == held && provenNotRun(known, a.GetReplaces()) || known.State == held && known.RequestID == a.GetRequestId() {
+		return decision{write: newRecord(now, a), reply: grantedReply()}
 	}
-	return l.standing(known, exists)
+	return l.currentState(known, exists)
 }
 
-// proven tells whether the proof that a request did not run is about the very
-// place where its claim stands now. Without that, a holder that has moved on
-// to another upstream in the meantime would run beside the one that replaces
-// it: a doubled action.
-func proven(known record, replaced *wire.ClaimAsk_Replaced) bool {
+// provenNotRun reports whether the proof that a request did not run refers to
+// the upstream and incarnation of its current claim. Otherwise the holder may
+// have moved to another upstream in the meantime, and would run the action a
+// second time beside the request that replaces it.
+func provenNotRun(known record, replaced *wire.ClaimAsk_Replaced) bool {
 	return replaced != nil && known.RequestID == replaced.GetRequestId() &&
 		known.Upstream == replaced.GetUpstream() && known.Incarnation == replaced.GetIncarnation()
 }
 
-// standing tells who holds the key, or how it ended.
-func (l *ledger) standing(known record, exists bool) decision {
+// currentState replies with the holder of the key, or with the stored response
+// of its finished action.
+func (l *ledger) currentState(known record, exists bool) decision {
 	if !exists {
-		return decision{reply: &wire.ClaimReply{State: wire.ClaimReply_STATE_UNAVAILABLE, Detail: "the claim is not held"}}
+		return decision{reply: &wire.ClaimReply{State: wire.ClaimReply_STATE_UNAVAILABLE, Detail: "no claim is held for this key"}}
 	}
 	reply := &wire.ClaimReply{State: wire.ClaimReply_STATE_HELD, RequestId: known.RequestID, Upstream: known.Upstream, Incarnation: known.Incarnation}
 	if known.State == finished {
@@ -154,19 +155,20 @@
 	return decision{reply: reply}
 }
 
-// commit takes a record that was written down.
+// commit applies a record that was stored.
 func (l *ledger) commit(r record) {
 	delete(l.pending, r.Key)
 	l.committed[r.Key] = r
 }
 
-// live tells whether the record is the last word on its key and still kept.
-func (l *ledger) live(now time.Time, r record) bool {
+// isLive reports whether the record is the latest of its key and still
+// retained.
+func (l *ledger) isLive(now time.Time, r record) bool {
 	last, ok := l.committed[r.Key]
 	return ok && last.RequestID == r.RequestID && last.State == r.State && r.State != released && now.Sub(r.At) <= Keep
 }
 
-// expire forgets what is past its time.
+// expire removes records that are past their retention.
 func (l *ledger) expire(now time.Time) {
 	for key, r := range l.committed {
 		if now.Sub(r.At) > Keep {
@@ -175,18 +177,18 @@
 	}
 }
 
-func fresh(now time.Time, a *wire.ClaimAsk) *record {
+func newRecord(now time.Time, a *wire.ClaimAsk) *record {
 	return &record{
 		Key: a.GetKey(), State: held, Fingerprint: a.GetFingerprint(), RequestID: a.GetRequestId(),
 		Upstream: a.GetUpstream(), Incarnation: a.GetIncarnation(), At: now.UTC(),
 	}
 }
 
-func granted() *wire.ClaimReply { return &wire.ClaimReply{State: wire.ClaimReply_STATE_GRANTED} }
+func grantedReply() *wire.ClaimReply { return &wire.ClaimReply{State: wire.ClaimReply_STATE_GRANTED} }
 
-func done() *wire.ClaimReply { return &wire.ClaimReply{State: wire.ClaimReply_STATE_DONE} }
+func doneReply() *wire.ClaimReply { return &wire.ClaimReply{State: wire.ClaimReply_STATE_DONE} }
 
-func unavailable(detail string) *wire.ClaimReply {
+func unavailableReply(detail string) *wire.ClaimReply {
 	return &wire.ClaimReply{State: wire.ClaimReply_STATE_UNAVAILABLE, Detail: detail}
 }
 
--- a/internal/action/outcome/outcome.go
+++ b/internal/action/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome settles each request exactly once: answered, refused as not
-// run, or said to may have run.
+// Package outcome records exactly one outcome for each request: answered, not
+// run, or possibly run.
 package outcome
 
 import (
@@ -8,10 +8,10 @@
 	"github.com/persimmonridge/persimmonridge/internal/proof/invariant"
 )
 
-// Kind is how a request ended for its caller.
+// Kind is the outcome that is reported to the caller.
 type Kind string
 
-// The kinds.
+// The possible outcomes.
 const (
 	Answered   Kind = "answered"
 	Late       Kind = "late"
@@ -20,7 +20,7 @@
 	CallerGone Kind = "caller-gone"
 )
 
-// Outcome is one request's, settled once.
+// Outcome records the outcome of one request. It is safe for concurrent use.
 type Outcome struct {
 	requestID  string
 	invariants *invariant.Recorder
@@ -30,31 +30,32 @@
 	ran  bool
 }
 
-// New returns an unsettled outcome.
+// New returns an Outcome without a recorded kind.
 func New(requestID string, invariants *invariant.Recorder) *Outcome {
 	return &Outcome{requestID: requestID, invariants: invariants}
 }
 
-// Dispatched notes evidence that the request runs or ran somewhere; after it,
-// "not run" would be untrue.
+// Dispatched records evidence that the request is running or has run, after
+// which NotRun would be incorrect.
 func (o *Outcome) Dispatched() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ran = true
 }
 
-// Settle records how the request ended.
+// Settle records the outcome. It checks that there was none before and that
+// NotRun does not contradict an earlier Dispatched; the first outcome stays.
 func (o *Outcome) Settle(kind Kind) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.invariants.Check(o.kind == "", invariant.OneOutcome, o.requestID, "settled as "+string(o.kind)+" and as "+string(kind))
-	o.invariants.Check(kind != NotRun || !o.ran, invariant.NotRunIsTrue, o.requestID, "refused as not run after signs of a run")
+	o.invariants.Check(o.kind == "", invariant.OneOutcome, o.requestID, "outcome "+string(o.kind)+" followed by "+string(kind))
+	o.invariants.Check(kind != NotRun || !o.ran, invariant.NotRunIsTrue, o.requestID, "reported as not run after evidence of a run")
 	if o.kind == "" {
 		o.kind = kind
 	}
 }
 
-// Kind returns how the request ended, or "" while it is open.
+// Kind returns the recorded outcome, or "" if there is none yet.
 func (o *Outcome) Kind() Kind {
 	o.mu.Lock()
 	defer o.mu.Unlock()
