--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -5,37 +5,37 @@
 	"sync"
 )
 
-// cache is a prompt-prefix cache with a bound in tokens; the least recently
-// used prefix goes first.
+// cache is an LRU cache of prompt prefixes with a capacity in tokens.
 type cache struct {
-	bound int
-	used  int
-	order *list.List
-	found map[uint64]*list.Element
+	capacity int
+	used     int
+	recency  *list.List
+	entries  map[uint64]*list.Element
 }
 
-type cached struct {
+type cacheEntry struct {
 	prefix uint64
 	tokens int
 }
 
 func newCache(bound int) *cache {
-	return &cache{bound: bound, order: list.New(), found: make(map[uint64]*list.Element)}
+	return &cache{capacity: bound, recency: list.New(), entries: make(map[uint64]*list.Element)}
 }
 
-// use tells whether the prefix was held, and holds it from now on.
+// use reports whether the prefix was cached, and adds it if not. It returns the
+// prefixes evicted to make room.
 func (c *cache) use(prefix uint64, tokens int) (hit bool, evicted []uint64) {
-	if element, ok := c.found[prefix]; ok {
-		c.order.MoveToFront(element)
+	if element, ok := c.entries[prefix]; ok {
+		c.recency.MoveToFront(element)
 		return true, nil
 	}
-	c.found[prefix] = c.order.PushFront(cached{prefix, tokens})
+	c.entries[prefix] = c.recency.PushFront(cacheEntry{prefix, tokens})
 	c.used += tokens
-	for c.used > c.bound && c.order.Len() > 1 {
-		oldest := c.order.Back()
-		entry := oldest.Value.(cached)
-		c.order.Remove(oldest)
-		delete(c.found, entry.prefix)
+	for c.used > c.capacity && c.recency.Len() > 1 {
+		oldest := c.recency.Back()
+		entry := oldest.Value.(cacheEntry)
+		c.recency.Remove(oldest)
+		delete(c.entries, entry.prefix)
 		c.used -= entry.tokens
 		evicted = append(evicted, entry.prefix)
 	}
@@ -43,77 +43,77 @@
 }
 
 func (c *cache) clear() []uint64 {
-	var gone []uint64
-	for prefix := range c.found {
-		gone = append(gone, prefix)
+	var prefixes []uint64
+	for prefix := range c.entries {
+		prefixes = append(prefixes, prefix)
 	}
-	c.order.Init()
-	c.found = make(map[uint64]*list.Element)
+	c.recency.Init()
+	c.entries = make(map[uint64]*list.Element)
 	c.used = 0
-	return gone
+	return prefixes
 }
 
-// Ledger counts prefill over a fleet of stand-ins. Prefill is wasted when it
-// computes a prefix that another engine held at that moment, and when the run
-// it was for was cut short.
+// Ledger counts prefill tokens over several stand-in engines. Prefill is wasted if
+// it computes a prefix that another engine has cached at that time, or if its run
+// is aborted.
 type Ledger struct {
 	mu      sync.Mutex
-	held    map[uint64]int
+	holders map[uint64]int
 	offered int
 	total   int
 	wasted  int
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{held: make(map[uint64]int)} }
+// NewLedger returns a Ledger with all counts at zero.
+func NewLedger() *Ledger { return &Ledger{holders: make(map[uint64]int)} }
 
-// Offered returns the tokens of all prompts, cached or not.
+// Offered returns the number of tokens of all prompts, cached or not.
 func (l *Ledger) Offered() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.offered
 }
 
-// Total returns all prefill tokens computed.
+// Total returns the number of prefill tokens computed.
 func (l *Ledger) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.total
 }
 
-// Wasted returns the prefill tokens that were computed in vain.
+// Wasted returns the number of prefill tokens wasted.
 func (l *Ledger) Wasted() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.wasted
 }
 
-func (l *Ledger) computed(p prompt, prefixTokens int, evicted []uint64) {
+func (l *Ledger) recordPrefill(p prompt, prefixTokens int, evicted []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.offered += p.prefixTokens + p.ownTokens
 	l.total += prefixTokens + p.ownTokens
 	if prefixTokens > 0 {
-		if l.held[p.prefix] > 0 {
+		if l.holders[p.prefix] > 0 {
 			l.wasted += prefixTokens
 		}
-		l.held[p.prefix]++
+		l.holders[p.prefix]++
 	}
-	for _, gone := range evicted {
-		l.held[gone]--
+	for _, prefix := range evicted {
+		l.holders[prefix]--
 	}
 }
 
-func (l *Ledger) cut(tokens int) {
+func (l *Ledger) recordAborted(tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wasted += tokens
 }
 
-func (l *Ledger) lost(prefixes []uint64) {
+func (l *Ledger) recordEvicted(prefixes []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, prefix := range prefixes {
-		l.held[prefix]--
+		l.holders[prefix]--
 	}
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in of a streaming model engine for tests and
-// trials: it batches continuously, caches prompt prefixes in limited memory,
-// knows no priorities, admits whatever comes, reports its load with a lag,
-// and can be told to fail, slow down, die or fall silent.
+// Package engine is a stand-in for a streaming model engine, for tests and trials.
+// It models continuous batching and a prompt-prefix cache of limited size, has no
+// priorities or admission control, reports its load with a lag, and can be made to
+// fail, slow down, crash or fall silent.
 package engine
 
 import (
@@ -21,81 +21,84 @@
 	"time"
 )
 
-// Settings is the engine's nature.
+// Settings are the performance characteristics of an engine.
 type Settings struct {
-	// TokenGap is the time of one token when a single request runs.
+	// TokenGap is the time between tokens while a single request runs.
 	TokenGap time.Duration
-	// Knee is the number of running requests at which the gap has doubled.
+	// Knee determines how the gap between tokens grows: it is TokenGap more for
+	// each Knee further requests that run.
 	Knee int
-	// PrefillRate is prompt tokens a second, one prompt at a time.
+	// PrefillRate is the number of prompt tokens computed per second. Prompts are
+	// computed one at a time.
 	PrefillRate int
-	// CacheTokens bounds the prefix cache.
+	// CacheTokens is the capacity of the prefix cache.
 	CacheTokens int
-	// LoadLag is the age of the load report.
+	// LoadLag is the maximum age of the load report.
 	LoadLag time.Duration
-	// RestartAfter is how long the engine is down after it died.
+	// RestartAfter is the downtime after a crash.
 	RestartAfter time.Duration
-	// Seed decides which requests fail.
+	// Seed determines which requests fail.
 	Seed uint64
-	// Listen opens the listener again after a death; the machine's own network
-	// if nil.
+	// Listen reopens the listener after a crash. If nil, net.Listen is used.
 	Listen func(address string) (net.Listener, error)
 }
 
-// Faults is what goes wrong.
+// Faults are the faults to inject.
 type Faults struct {
-	// CrashOn makes the engine die when a body holds the text.
+	// CrashOn makes the engine crash when it runs a request whose body contains the
+	// text.
 	CrashOn string `json:"crash-on"`
 	// FailShare is the share of requests answered with status 500.
 	FailShare float64 `json:"fail-share"`
-	// FailWhenRunning fails requests only while at least so many run.
+	// FailWhenRunning limits FailShare to times at which at least this many
+	// requests run.
 	FailWhenRunning int `json:"fail-when-running"`
-	// FailBody limits FailShare and Slow to bodies that hold the text.
+	// FailBody limits FailShare and Slow to requests whose body contains the text.
 	FailBody string `json:"fail-body"`
 	// Slow multiplies the gap between tokens.
 	Slow float64 `json:"slow"`
-	// Silent makes requests that arrive, and streams that run, hang for good;
-	// nothing is closed.
+	// Silent makes new requests and running streams hang without closing their
+	// connections.
 	Silent bool `json:"silent"`
 }
 
-// Engine is one stand-in.
+// Engine is one stand-in engine.
 type Engine struct {
 	settings Settings
 	ledger   *Ledger
 	address  string
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	faults   Faults
-	cache    *cache
-	running  int
-	server   *http.Server
-	closed   bool
-	runs     map[string]int
-	crashes  int
-	tokens   int
-	reported Load
-	reportAt time.Time
-	fence    uint64
-	version  string
-
-	prefill chan struct{}
-	wg      sync.WaitGroup
+	mu         sync.Mutex
+	random     *rand.Rand
+	faults     Faults
+	cache      *cache
+	running    int
+	server     *http.Server
+	closed     bool
+	runs       map[string]int
+	crashes    int
+	tokens     int
+	reported   Load
+	reportedAt time.Time
+	fence      uint64
+	version    string
+
+	prefillSlot chan struct{}
+	wg          sync.WaitGroup
 }
 
-// Load is the engine's report.
+// Load is the engine's load report.
 type Load struct {
 	Running int `json:"running"`
 	Cached  int `json:"cached-tokens"`
 }
 
-// New starts an engine on the listener. A ledger may be nil.
+// New starts an engine on the listener. The ledger may be nil.
 func New(listener net.Listener, settings Settings, ledger *Ledger) *Engine {
 	e := &Engine{
 		settings: settings, ledger: ledger, address: listener.Addr().String(),
 		random: rand.New(rand.NewPCG(settings.Seed, 1)), cache: newCache(settings.CacheTokens),
-		runs: make(map[string]int), prefill: make(chan struct{}, 1),
+		runs: make(map[string]int), prefillSlot: make(chan struct{}, 1),
 	}
 	e.serve(listener)
 	return e
@@ -111,7 +114,7 @@
 	e.faults = f
 }
 
-// Crashes returns how often the engine died.
+// Crashes returns the number of crashes so far.
 func (e *Engine) Crashes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -125,18 +128,18 @@
 	return e.tokens
 }
 
-// Runs returns how often each request id was run.
+// Runs returns the number of runs by request ID.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	copied := make(map[string]int, len(e.runs))
-	for id, n := range e.runs {
-		copied[id] = n
+	for id, count := range e.runs {
+		copied[id] = count
 	}
 	return copied
 }
 
-// Close stops the engine and waits.
+// Close stops the engine and waits until its goroutines have ended.
 func (e *Engine) Close() error {
 	e.mu.Lock()
 	e.closed = true
@@ -147,15 +150,16 @@
 	return err
 }
 
-// Die ends all connections at once; the engine comes back after RestartAfter.
-func (e *Engine) Die() {
+// Crash closes all connections and clears the cache; the engine restarts after
+// RestartAfter.
+func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.crashes++
 	server := e.server
-	gone := e.cache.clear()
+	evicted := e.cache.clear()
 	if e.ledger != nil {
-		e.ledger.lost(gone)
+		e.ledger.recordEvicted(evicted)
 	}
 	e.wg.Go(func() {
 		_ = server.Close()
@@ -183,9 +187,9 @@
 
 func (e *Engine) serve(listener net.Listener) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("GET /load", e.load)
-	mux.HandleFunc("POST /orders", e.order)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
+	mux.HandleFunc("GET /load", e.serveLoad)
+	mux.HandleFunc("POST /orders", e.applyOrder)
 	mux.HandleFunc("PUT /stand-in/faults", e.putFaults)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Minute}
 	e.mu.Lock()
@@ -197,18 +201,18 @@
 func (e *Engine) putFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
-		http.Error(w, "faults are a JSON object; see Faults", http.StatusBadRequest)
+		http.Error(w, "faults must be a JSON object", http.StatusBadRequest)
 		return
 	}
 	e.SetFaults(f)
 }
 
-// load reports with a lag.
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+// serveLoad returns the load report, which is up to LoadLag old.
+func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	e.mu.Lock()
-	if now.Sub(e.reportAt) > e.settings.LoadLag {
-		e.reported, e.reportAt = Load{Running: e.running, Cached: e.cache.used}, now
+	if now.Sub(e.reportedAt) > e.settings.LoadLag {
+		e.reported, e.reportedAt = Load{Running: e.running, Cached: e.cache.used}, now
 	}
 	report := e.reported
 	e.mu.Unlock()
@@ -216,52 +220,52 @@
 	_ = json.NewEncoder(w).Encode(report)
 }
 
-// Order is what an engine is told to do.
+// Order tells an engine which version to run.
 type Order struct {
 	Fence   uint64 `json:"fence"`
 	Version string `json:"version"`
 }
 
-// order refuses an old fencing number.
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+// applyOrder applies an order unless one with a higher fencing number was applied.
+func (e *Engine) applyOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		http.Error(w, "an order is JSON with fence and version", http.StatusBadRequest)
+		http.Error(w, "order must be a JSON object with fence and version", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.Fence < e.fence {
-		http.Error(w, "an order with a higher fencing number was seen", http.StatusConflict)
+		http.Error(w, "an order with a higher fencing number was applied", http.StatusConflict)
 		return
 	}
 	e.fence, e.version = o.Fence, o.Version
 }
 
-// prompt is what the stand-in reads of a body.
+// prompt holds what the stand-in needs to know of a request body.
 type prompt struct {
 	body         string
 	prefix       uint64
 	prefixTokens int
 	ownTokens    int
-	length       int
-	mark         string
+	answerTokens int
+	marker       string
 	stream       bool
 }
 
-// A prompt may say how long its answer shall be, and a mark that every token
-// of the answer repeats, so that crossed answers show.
+// A prompt may specify the length of its answer, and a marker that is repeated in
+// every token of the answer, so that callers can detect another request's answer.
 var (
-	lengthMark = regexp.MustCompile(`\[length=(\d+)\]`)
-	ownMark    = regexp.MustCompile(`\[mark=([a-z0-9-]+)\]`)
+	lengthPattern = regexp.MustCompile(`\[length=(\d+)\]`)
+	markerPattern = regexp.MustCompile(`\[mark=([a-z0-9-]+)\]`)
 )
 
 const (
-	bytesPerToken = 4
-	defaultLength = 50
+	bytesPerToken       = 4
+	defaultAnswerTokens = 50
 )
 
-func readPrompt(body []byte) (prompt, error) {
+func parsePrompt(body []byte) (prompt, error) {
 	var doc struct {
 		Stream   bool `json:"stream"`
 		Messages []struct {
@@ -272,7 +276,7 @@
 	if err := json.Unmarshal(body, &doc); err != nil {
 		return prompt{}, err
 	}
-	p := prompt{body: string(body), length: defaultLength, stream: doc.Stream}
+	p := prompt{body: string(body), answerTokens: defaultAnswerTokens, stream: doc.Stream}
 	for _, m := range doc.Messages {
 		if m.Role == "system" {
 			h := fnv.New64a()
@@ -281,43 +285,43 @@
 			continue
 		}
 		p.ownTokens += len(m.Content) / bytesPerToken
-		if mark := lengthMark.FindStringSubmatch(m.Content); mark != nil {
-			p.length, _ = strconv.Atoi(mark[1])
+		if match := lengthPattern.FindStringSubmatch(m.Content); match != nil {
+			p.answerTokens, _ = strconv.Atoi(match[1])
 		}
-		if mark := ownMark.FindStringSubmatch(m.Content); mark != nil {
-			p.mark = mark[1]
+		if match := markerPattern.FindStringSubmatch(m.Content); match != nil {
+			p.marker = match[1]
 		}
 	}
 	return p, nil
 }
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	p, err := readPrompt(body)
+	p, err := parsePrompt(body)
 	if err != nil {
-		http.Error(w, "not a chat completion", http.StatusBadRequest)
+		http.Error(w, "body is not a chat completion", http.StatusBadRequest)
 		return
 	}
-	fail := e.begin(r.Header.Get("X-Request-Id"), p)
-	defer e.end()
+	fail := e.startRun(r.Header.Get("X-Request-Id"), p)
+	defer e.endRun()
 	if fail {
-		http.Error(w, "the engine failed", http.StatusInternalServerError)
+		http.Error(w, "injected failure", http.StatusInternalServerError)
 		return
 	}
-	computed, err := e.fill(r.Context(), p)
+	prefillTokens, err := e.computePrefill(r.Context(), p)
 	if err == nil {
 		err = e.decode(r.Context(), w, p)
 	}
 	if err != nil && e.ledger != nil {
-		e.ledger.cut(computed)
+		e.ledger.recordAborted(prefillTokens)
 	}
 }
 
-// begin counts the run and tells whether it shall fail.
-func (e *Engine) begin(id string, p prompt) bool {
+// startRun counts the run and reports whether it is to fail.
+func (e *Engine) startRun(id string, p prompt) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running++
@@ -325,21 +329,22 @@
 	if e.faults.CrashOn != "" && strings.Contains(p.body, e.faults.CrashOn) {
 		e.wg.Go(func() {
 			time.Sleep(2 * e.settings.TokenGap)
-			e.Die()
+			e.Crash()
 		})
 	}
-	concerned := strings.Contains(p.body, e.faults.FailBody) && e.running >= e.faults.FailWhenRunning
-	return concerned && e.random.Float64() < e.faults.FailShare
+	affected := strings.Contains(p.body, e.faults.FailBody) && e.running >= e.faults.FailWhenRunning
+	return affected && e.random.Float64() < e.faults.FailShare
 }
 
-func (e *Engine) end() {
+func (e *Engine) endRun() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
 }
 
-// fill computes the prompt, one prompt at a time, less what the cache holds.
-func (e *Engine) fill(ctx context.Context, p prompt) (int, error) {
+// computePrefill takes the time of the prefill of a prompt, without its prefix if
+// that is cached. It returns the number of tokens computed.
+func (e *Engine) computePrefill(ctx context.Context, p prompt) (int, error) {
 	e.mu.Lock()
 	hit, evicted := true, []uint64(nil)
 	if p.prefixTokens > 0 {
@@ -351,20 +356,20 @@
 		prefixTokens = 0
 	}
 	if e.ledger != nil {
-		e.ledger.computed(p, prefixTokens, evicted)
+		e.ledger.recordPrefill(p, prefixTokens, evicted)
 	}
 	tokens := prefixTokens + p.ownTokens
 	select {
-	case e.prefill <- struct{}{}:
+	case e.prefillSlot <- struct{}{}:
 	case <-ctx.Done():
 		return tokens, ctx.Err()
 	}
-	defer func() { <-e.prefill }()
-	return tokens, pause(ctx, time.Duration(tokens)*time.Second/time.Duration(e.settings.PrefillRate))
+	defer func() { <-e.prefillSlot }()
+	return tokens, sleep(ctx, time.Duration(tokens)*time.Second/time.Duration(e.settings.PrefillRate))
 }
 
-func (e *Engine) gap(p prompt) time.Duration {
-	// silence is longer than anyone waits.
+func (e *Engine) tokenGap(p prompt) time.Duration {
+	// silence exceeds every timeout.
 	const silence = 24 * time.Hour
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -378,15 +383,15 @@
 	return time.Duration(gap)
 }
 
-// decode streams the answer as server-sent events, or returns it whole.
+// decode writes the answer, as server-sent events if the request asks for a stream.
 func (e *Engine) decode(ctx context.Context, w http.ResponseWriter, p prompt) error {
 	if !p.stream {
 		var text strings.Builder
-		for i := range p.length {
-			if err := pause(ctx, e.gap(p)); err != nil {
+		for i := range p.answerTokens {
+			if err := sleep(ctx, e.tokenGap(p)); err != nil {
 				return err
 			}
-			fmt.Fprintf(&text, "%s:%d ", p.mark, i)
+			fmt.Fprintf(&text, "%s:%d ", p.marker, i)
 		}
 		w.Header().Set("Content-Type", "application/json")
 		_, err := fmt.Fprintf(w, `{"object":"chat.completion","choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}]}`, text.String())
@@ -395,13 +400,13 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher, ok := w.(http.Flusher)
 	if !ok {
-		return errors.New("no flusher")
+		return errors.New("response writer does not support flushing")
 	}
-	for i := range p.length {
-		if err := pause(ctx, e.gap(p)); err != nil {
+	for i := range p.answerTokens {
+		if err := sleep(ctx, e.tokenGap(p)); err != nil {
 			return err
 		}
-		if _, err := fmt.Fprintf(w, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%s:%d \"}}]}\n\n", p.mark, i); err != nil {
+		if _, err := fmt.Fprintf(w, "data: {\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"%s:%d \"}}]}\n\n", p.marker, i); err != nil {
 			return err
 		}
 		flusher.Flush()
@@ -413,7 +418,7 @@
 	return err
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/trial/chaos/chaos.go
+++ b/internal/trial/chaos/chaos.go
@@ -1,4 +1,4 @@
-// Package chaos draws random failures of every kind for a whole small site.
+// Package chaos generates scenarios with random failures of every kind.
 package chaos
 
 import (
@@ -12,91 +12,92 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/scenario"
 )
 
-// Sizes of a random scenario's site.
+// Parameters of the site and load of a random scenario.
 const (
 	randomEngines  = 5
 	randomBookings = 3
 	randomEntries  = 3
 	randomRate     = 25
-	// losable is the one VM that may vanish for good; the others can carry the
-	// load of the quiet tail.
-	losable = "tutor-04"
-	// quietTail is the time without new failures at the end, in which the site
-	// must come back to serving everything.
-	quietTail = 20 * time.Second
+	// removableVM is the only VM that may be lost permanently; the others have the
+	// capacity for the load of the recovery period.
+	removableVM = "tutor-04"
+	// recoveryPeriod is the time without new failures at the end of a scenario. Every
+	// request of its second half must be answered in time.
+	recoveryPeriod = 20 * time.Second
 )
 
-// Draw draws a script: failures of every kind at random moments, several of
-// them together. Only what must always hold is expected of it, and that the
-// quiet tail is served whole.
-func Draw(seed uint64, duration time.Duration) scenario.Script {
+// NewScript generates a script with failures of every kind at random times, which
+// may overlap. It expects only what holds for every script, and that the site
+// answers all requests in time at the end of the recovery period.
+func NewScript(seed uint64, duration time.Duration) scenario.Script {
 	random := rand.New(rand.NewPCG(seed, 3))
 	s := scenario.Script{
-		Story:    []string{"Anything may fail at any moment, together or twice.", fmt.Sprintf("Drawn with seed %d.", seed)},
-		Seed:     seed,
-		Duration: scenario.Duration(duration), Rate: randomRate, Engines: randomEngines, Bookings: randomBookings, Entries: randomEntries,
+		Description: []string{"Failures of every kind at random times, which may overlap.", fmt.Sprintf("Drawn with seed %d.", seed)},
+		Seed:        seed,
+		Duration:    scenario.Duration(duration), Rate: randomRate, Engines: randomEngines, Bookings: randomBookings, Entries: randomEntries,
 		Settle: scenario.Duration(5 * time.Second),
-		// Kills cut what they carried; how much, no script can say beforehand.
-		Expect: scenario.Expect{CutMost: unbounded, MayHaveRunMost: unbounded, UnreachedMost: unbounded, NotRunMost: -1, CrashesMost: unbounded, TailFrom: scenario.Duration(duration - quietTail/2)},
+		// Killed processes cut the requests that they carry; their number is not
+		// known in advance.
+		Expect: scenario.Expect{MaxCut: unbounded, MaxMayHaveRun: unbounded, MaxUnreached: unbounded, MaxNotRun: -1, MaxCrashes: unbounded, TailFrom: scenario.Duration(duration - recoveryPeriod/2)},
 	}
-	until := duration - quietTail
+	lastFailure := duration - recoveryPeriod
 	for range 4 + random.IntN(10) {
-		s.Events = append(s.Events, one(random, until)...)
+		s.Events = append(s.Events, drawEvents(random, lastFailure)...)
 	}
-	s.Events = append(s.Events, scenario.Event{At: scenario.Duration(until), Do: scenario.StoreFaults}, scenario.Event{At: scenario.Duration(until), Do: scenario.EngineFaults, Target: "tutor"})
+	s.Events = append(s.Events, scenario.Event{At: scenario.Duration(lastFailure), Action: scenario.StoreFaults}, scenario.Event{At: scenario.Duration(lastFailure), Action: scenario.EngineFaults, Target: "tutor"})
 	sort.SliceStable(s.Events, func(i, j int) bool { return s.Events[i].At < s.Events[j].At })
 	return s
 }
 
-// unbounded stands for any number.
+// unbounded allows any number.
 const unbounded = 1 << 30
 
-func one(random *rand.Rand, until time.Duration) []scenario.Event {
-	at := scenario.Duration(time.Second + rand64(random, until-time.Second))
+func drawEvents(random *rand.Rand, lastFailure time.Duration) []scenario.Event {
+	at := scenario.Duration(time.Second + drawDuration(random, lastFailure-time.Second))
 	tutor := fmt.Sprintf("tutor-%02d", random.IntN(randomEngines))
 	booking := fmt.Sprintf("booking-%02d", random.IntN(randomBookings))
-	either := []string{tutor, booking}[random.IntN(2)]
-	number := random.IntN(randomEntries)
+	upstream := []string{tutor, booking}[random.IntN(2)]
+	entry := random.IntN(randomEntries)
 	switch random.IntN(16) {
 	case 0, 1:
-		return []scenario.Event{{At: at, Do: scenario.KillAgent, Target: either}}
+		return []scenario.Event{{At: at, Action: scenario.KillAgent, Target: upstream}}
 	case 2:
-		return []scenario.Event{{At: at, Do: scenario.RestartAgent, Target: either}}
+		return []scenario.Event{{At: at, Action: scenario.RestartAgent, Target: upstream}}
 	case 3:
-		return []scenario.Event{{At: at, Do: scenario.KillEntry, Entry: number}, {At: at + scenario.Duration(time.Second), Do: scenario.AddEntry}}
+		return []scenario.Event{{At: at, Action: scenario.KillEntry, Entry: entry}, {At: at + scenario.Duration(time.Second), Action: scenario.AddEntry}}
 	case 4:
-		return []scenario.Event{{At: at, Do: scenario.AddEntry}, {At: at + scenario.Duration(time.Second), Do: scenario.StopEntry, Entry: number}}
+		return []scenario.Event{{At: at, Action: scenario.AddEntry}, {At: at + scenario.Duration(time.Second), Action: scenario.StopEntry, Entry: entry}}
 	case 5, 6:
-		return []scenario.Event{{At: at, Do: scenario.Silence, Target: either}}
+		return []scenario.Event{{At: at, Action: scenario.Silence, Target: upstream}}
 	case 7:
-		return []scenario.Event{{At: at, Do: scenario.SilencePeers, Entry: number}}
+		return []scenario.Event{{At: at, Action: scenario.SilencePeers, Entry: entry}}
 	case 8:
-		return []scenario.Event{{At: at, Do: scenario.CrashEngine, Target: tutor}}
+		return []scenario.Event{{At: at, Action: scenario.CrashEngine, Target: tutor}}
 	case 9:
 		faults := []kv.Faults{{Outage: true}, {SlowMS: 100 + random.IntN(900)}, {LoseAnswers: 0.5}}[random.IntN(3)]
-		end := at + scenario.Duration(rand64(random, 15*time.Second))
-		return []scenario.Event{{At: at, Do: scenario.StoreFaults, Store: faults}, {At: end, Do: scenario.StoreFaults}}
+		end := at + scenario.Duration(drawDuration(random, 15*time.Second))
+		return []scenario.Event{{At: at, Action: scenario.StoreFaults, Store: faults}, {At: end, Action: scenario.StoreFaults}}
 	case 12:
-		return []scenario.Event{{At: at, Do: scenario.Freeze, Target: either, Within: pause(random)}}
+		return []scenario.Event{{At: at, Action: scenario.Freeze, Target: upstream, Within: drawPause(random)}}
 	case 13:
-		return []scenario.Event{{At: at, Do: scenario.FreezePeers, Entry: number, Within: pause(random)}}
+		return []scenario.Event{{At: at, Action: scenario.FreezePeers, Entry: entry, Within: drawPause(random)}}
 	case 14:
-		return []scenario.Event{{At: at, Do: scenario.Stall, Target: either, Within: pause(random)}}
+		return []scenario.Event{{At: at, Action: scenario.Stall, Target: upstream, Within: drawPause(random)}}
 	case 11:
-		return []scenario.Event{{At: at, Do: scenario.LoseVM, Target: losable}}
+		return []scenario.Event{{At: at, Action: scenario.LoseVM, Target: removableVM}}
 	case 10:
-		return []scenario.Event{{At: at, Do: scenario.SendCrasher, Entry: number, Times: 1 + random.IntN(4)}}
+		return []scenario.Event{{At: at, Action: scenario.SendCrasher, Entry: entry, Times: 1 + random.IntN(4)}}
 	}
 	faults := engine.Faults{FailShare: random.Float64() / 2, Slow: 1 + 4*random.Float64()}
-	end := at + scenario.Duration(rand64(random, 10*time.Second))
-	return []scenario.Event{{At: at, Do: scenario.EngineFaults, Target: tutor, Engine: faults}, {At: end, Do: scenario.EngineFaults, Target: tutor}}
+	end := at + scenario.Duration(drawDuration(random, 10*time.Second))
+	return []scenario.Event{{At: at, Action: scenario.EngineFaults, Target: tutor, Engine: faults}, {At: end, Action: scenario.EngineFaults, Target: tutor}}
 }
 
-// pause is up to twelve seconds, twice what an entry waits for a lost agent.
-func pause(random *rand.Rand) scenario.Duration {
-	return scenario.Duration(rand64(random, 12*time.Second))
+// drawPause returns up to 12 s, twice the time that an entry waits for a lost agent.
+func drawPause(random *rand.Rand) scenario.Duration {
+	return scenario.Duration(drawDuration(random, 12*time.Second))
 }
 
-func rand64(random *rand.Rand, below time.Duration) time.Duration {
-	return time.Duration(random.Int64N(int64(max(below, 1))))
+func drawDuration(random *rand.Rand, bound time.Duration) time.Duration {
+	return time.Duration(random.Int64N(int64(max(bound, 1))))
 }
--- a/internal/trial/chaos/chaos_test.go
+++ b/internal/trial/chaos/chaos_test.go
@@ -11,27 +11,27 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/scenariotest"
 )
 
-// How much of the random failures is run: a little in CI, any amount by hand.
+// The defaults keep the time of a CI run short; use the flags for longer runs.
 var (
 	runs      = flag.Int("runs", 4, "random scenarios to run")
 	firstSeed = flag.Uint64("first-seed", 1, "seed of the first random scenario")
-	length    = flag.Duration("length", 50*time.Second, "length of each, in the scenario's own time")
+	length    = flag.Duration("length", 50*time.Second, "length of each scenario, in fake time")
 )
 
-// A user sees an answer twice, half or another's, or is charged twice.
-// Processes are killed and stopped, links fall silent, the store fails and
-// loses answers, engines die and fail, in any order and together.
-// Whatever the order, what must always hold is asserted inside the program.
+// Guards against answers that are duplicated, truncated or another request's, and
+// against actions that take effect twice, when failures coincide: processes are
+// killed and stopped, links fall silent, the store fails and loses answers, engines
+// crash and fail. The program checks its invariants in every order of failures.
 func TestRandomised(t *testing.T) {
 	injected := make(map[scenario.Action]int)
 	requests := 0
 	for i := range *runs {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
-			result := scenariotest.Run(t, chaos.Draw(seed, *length))
+			result := scenariotest.Run(t, chaos.NewScript(seed, *length))
 			requests += len(result.Samples)
-			for action, times := range result.Injected {
-				injected[action] += times
+			for action, count := range result.Injected {
+				injected[action] += count
 			}
 		})
 	}
--- a/internal/trial/fleet/fleet.go
+++ b/internal/trial/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet runs a whole small site in one process, on loopback: stand-ins
-// of the platform and of the upstreams, and the real entries and agents over
-// real sockets. It serves the try command and the tests.
+// Package fleet runs a small but complete site in one process: real entries and
+// agents, with stand-ins for the platform and the upstreams. The processes talk
+// over loopback sockets or over any other Network. It is used by the try command
+// and by tests.
 package fleet
 
 import (
@@ -31,47 +32,47 @@
 
 var namespace = errorx.NewNamespace("fleet")
 
-// NotStarted means that the site did not come up.
+// NotStarted is the type of errors for a site that could not be started.
 var NotStarted = namespace.NewType("not-started")
 
 const (
-	// startWithin bounds the start of a whole site.
-	startWithin = 15 * time.Second
-	// startPoll is how often its start is looked at.
-	startPoll = 20 * time.Millisecond
-	// closeWithin bounds a planned stop of one process.
-	closeWithin = 30 * time.Second
+	// startTimeout bounds the start of the site.
+	startTimeout = 15 * time.Second
+	// startPollInterval is the interval between readiness checks during the start.
+	startPollInterval = 20 * time.Millisecond
+	// drainTimeout bounds the graceful stop of one process.
+	drainTimeout = 30 * time.Second
 )
 
-// Shape says what a site consists of.
-type Shape struct {
+// Spec describes a site.
+type Spec struct {
 	Inventory []byte
 	Rules     []byte
 	Entries   int
-	// Engines are the model upstreams, Bookings the plain ones.
-	Engines  []EngineShape
-	Bookings []BookingShape
+	// Engines are the model upstreams, Bookings the plain HTTP upstreams.
+	Engines  []EngineSpec
+	Bookings []BookingSpec
 	// Partitions is the number of claim partitions.
 	Partitions int
 	Seed       uint64
-	// Network carries everything; OS is the machine's loopback.
+	// Network connects all processes of the site; use OS for real sockets.
 	Network Network
 }
 
-// Network is what a site's processes listen on and dial through.
+// Network is the network on which a site's processes listen and dial.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// OS is the machine's own network.
+// OS is the network of the operating system.
 type OS struct{ net.Dialer }
 
 // Listen implements Network.
 func (OS) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// EngineShape is one model upstream.
-type EngineShape struct {
+// EngineSpec describes one model upstream.
+type EngineSpec struct {
 	Name     string
 	Service  string
 	Version  string
@@ -83,8 +84,8 @@
 	TokenGap time.Duration
 }
 
-// BookingShape is one plain upstream.
-type BookingShape struct {
+// BookingSpec describes one plain HTTP upstream.
+type BookingSpec struct {
 	Name    string
 	Service string
 	Version string
@@ -94,7 +95,7 @@
 
 // Fleet is a running site.
 type Fleet struct {
-	shape      Shape
+	spec       Spec
 	logger     *slog.Logger
 	invariants *invariant.Recorder
 	prefill    *engine.Ledger
@@ -102,14 +103,14 @@
 
 	platform *platform.Platform
 
-	mu      sync.Mutex
-	entries []*entry.Entry
-	places  map[string]*place
-	births  uint64
+	mu               sync.Mutex
+	entries          []*entry.Entry
+	upstreams        map[string]*upstream
+	processesStarted uint64
 }
 
-// place is one upstream with its agent.
-type place struct {
+// upstream is the stand-in of one upstream, an engine or a service, with its agent.
+type upstream struct {
 	vm       vmlist.VM
 	settings settings.Agent
 	agent    *agent.Agent
@@ -117,13 +118,13 @@
 	service  *service.Service
 }
 
-// New starts a site and waits until every entry knows its configuration and
-// all upstreams.
-func New(shape Shape, logger *slog.Logger, invariants *invariant.Recorder) (*Fleet, error) {
+// New starts a site and waits until every entry has the configuration and has
+// heard from all upstreams.
+func New(spec Spec, logger *slog.Logger, invariants *invariant.Recorder) (*Fleet, error) {
 	f := &Fleet{
-		shape: shape, logger: logger, invariants: invariants,
+		spec: spec, logger: logger, invariants: invariants,
 		prefill: engine.NewLedger(), effects: service.NewLedger(),
-		places: make(map[string]*place),
+		upstreams: make(map[string]*upstream),
 	}
 	if err := f.start(); err != nil {
 		_ = f.Close()
@@ -134,26 +135,26 @@
 
 func (f *Fleet) start() error {
 	var err error
-	if f.platform, err = platform.New(f.shape.Network, f.shape.Seed); err != nil {
+	if f.platform, err = platform.New(f.spec.Network, f.spec.Seed); err != nil {
 		return err
 	}
-	if _, err := f.Apply(context.Background(), "operator", "first inventory and rules", f.shape.Inventory, f.shape.Rules); err != nil {
+	if _, err := f.Apply(context.Background(), "operator", "first inventory and rules", f.spec.Inventory, f.spec.Rules); err != nil {
 		return err
 	}
-	for _, shape := range f.shape.Engines {
-		if err := f.AddEngine(shape); err != nil {
+	for _, upstreamSpec := range f.spec.Engines {
+		if err := f.AddEngine(upstreamSpec); err != nil {
 			return err
 		}
 	}
-	for _, shape := range f.shape.Bookings {
-		if err := f.addBooking(shape); err != nil {
+	for _, upstreamSpec := range f.spec.Bookings {
+		if err := f.addBooking(upstreamSpec); err != nil {
 			return err
 		}
 	}
 	if err := f.Publish(); err != nil {
 		return err
 	}
-	for range f.shape.Entries {
+	for range f.spec.Entries {
 		if _, err := f.AddEntry(); err != nil {
 			return err
 		}
@@ -164,7 +165,7 @@
 	return f.AwaitReady()
 }
 
-// Apply submits an inventory and rules as an operator would.
+// Apply submits an inventory and rules to the store as a configuration change.
 func (f *Fleet) Apply(ctx context.Context, who, why string, inventoryFile, rulesFile []byte) (changelog.Record, error) {
 	if _, findings := document.Build(inventoryFile, rulesFile); len(findings) > 0 {
 		return changelog.Record{}, NotStarted.New("%s", findings[0].String())
@@ -183,93 +184,94 @@
 	return submitter.Submit(ctx, time.Now(), changelog.NewChange(revision, who, why, patch))
 }
 
-// NewStore returns a client of the platform's store.
+// NewStore returns a new client of the platform's store.
 func (f *Fleet) NewStore() *store.Client {
-	return store.New([]string{f.platform.StoreURL()}, time.Now, f.shape.Network)
+	return store.New([]string{f.platform.StoreURL()}, time.Now, f.spec.Network)
 }
 
-// Store returns the stand-in of the platform's store, to set its faults.
+// Store returns the stand-in for the platform's store, for fault injection.
 func (f *Fleet) Store() *kv.Service { return f.platform.Store() }
 
-// AddEngine starts a model upstream with its agent.
-func (f *Fleet) AddEngine(shape EngineShape) error {
-	listener, err := f.listen()
+// AddEngine starts a model upstream and its agent.
+func (f *Fleet) AddEngine(spec EngineSpec) error {
+	listener, err := f.listenLoopback()
 	if err != nil {
 		return err
 	}
-	shape.Settings.Listen = f.shape.Network.Listen
-	p := &place{engine: engine.New(listener, shape.Settings, f.prefill)}
+	spec.Settings.Listen = f.spec.Network.Listen
+	u := &upstream{engine: engine.New(listener, spec.Settings, f.prefill)}
 	doc := map[string]any{
-		"node": "agent-" + shape.Name, "failure-domain": shape.Domain, "peer-address": "127.0.0.1:0", "upstream": shape.Name,
-		"service": shape.Service, "version": shape.Version, "upstream-url": "http://" + p.engine.Addr(),
-		"limit": shape.Limit, "max-limit": shape.MaxLimit, "token-gap-target": shape.TokenGap.String(),
+		"node": "agent-" + spec.Name, "failure-domain": spec.Domain, "peer-address": "127.0.0.1:0", "upstream": spec.Name,
+		"service": spec.Service, "version": spec.Version, "upstream-url": "http://" + u.engine.Addr(),
+		"limit": spec.Limit, "max-limit": spec.MaxLimit, "token-gap-target": spec.TokenGap.String(),
 	}
-	return f.addPlace(p, doc, vmlist.NewAgent(shape.Name, shape.Service, shape.Version, "", shape.Domain, shape.Weight))
+	return f.addUpstream(u, doc, vmlist.NewAgent(spec.Name, spec.Service, spec.Version, "", spec.Domain, spec.Weight))
 }
 
-func (f *Fleet) addBooking(shape BookingShape) error {
-	listener, err := f.listen()
+func (f *Fleet) addBooking(spec BookingSpec) error {
+	listener, err := f.listenLoopback()
 	if err != nil {
 		return err
 	}
-	p := &place{service: service.New(listener, service.Settings{Delay: shape.Delay}, f.effects)}
+	u := &upstream{service: service.New(listener, service.Settings{Delay: spec.Delay}, f.effects)}
 	doc := map[string]any{
-		"node": "agent-" + shape.Name, "failure-domain": shape.Domain, "peer-address": "127.0.0.1:0", "upstream": shape.Name,
-		"service": shape.Service, "version": shape.Version, "upstream-url": "http://" + p.service.Addr(), "plain": true, "max-limit": 16,
+		"node": "agent-" + spec.Name, "failure-domain": spec.Domain, "peer-address": "127.0.0.1:0", "upstream": spec.Name,
+		"service": spec.Service, "version": spec.Version, "upstream-url": "http://" + u.service.Addr(), "plain": true, "max-limit": 16,
 	}
-	return f.addPlace(p, doc, vmlist.NewAgent(shape.Name, shape.Service, shape.Version, "", shape.Domain, 1))
+	return f.addUpstream(u, doc, vmlist.NewAgent(spec.Name, spec.Service, spec.Version, "", spec.Domain, 1))
 }
 
-func (f *Fleet) addPlace(p *place, doc map[string]any, vm vmlist.VM) error {
+func (f *Fleet) addUpstream(u *upstream, doc map[string]any, vm vmlist.VM) error {
 	raw, err := json.Marshal(doc)
 	if err != nil {
 		return err
 	}
-	if p.settings, err = settings.ParseAgent(raw); err != nil {
+	if u.settings, err = settings.ParseAgent(raw); err != nil {
 		return err
 	}
-	if err := f.startAgent(p, "127.0.0.1:0"); err != nil {
+	if err := f.startAgent(u, "127.0.0.1:0"); err != nil {
 		return err
 	}
-	p.vm = vmlist.NewAgent(vm.Upstream(), vm.Service(), vm.Version(), p.agent.Addr(), vm.FailureDomain(), vm.Weight())
+	u.vm = vmlist.NewAgent(vm.Upstream(), vm.Service(), vm.Version(), u.agent.Addr(), vm.FailureDomain(), vm.Weight())
 	f.mu.Lock()
-	f.places[vm.Upstream()] = p
+	f.upstreams[vm.Upstream()] = u
 	f.mu.Unlock()
 	return nil
 }
 
-// startAgent starts a place's agent, or the one that takes its place.
-func (f *Fleet) startAgent(p *place, address string) error {
+// startAgent starts the upstream's agent, or a replacement for one that was
+// closed, with a new incarnation number.
+func (f *Fleet) startAgent(u *upstream, address string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	listener, err := f.shape.Network.Listen(address)
+	listener, err := f.spec.Network.Listen(address)
 	if err != nil {
 		return err
 	}
-	f.births++
-	p.agent = agent.New(p.settings, listener, f.births, f.logger, time.Now, agent.WithInvariants(f.invariants), agent.WithDialer(f.shape.Network))
+	f.processesStarted++
+	u.agent = agent.New(u.settings, listener, f.processesStarted, f.logger, time.Now, agent.WithInvariants(f.invariants), agent.WithDialer(f.spec.Network))
 	return nil
 }
 
-// AddEntry starts an entry and returns it.
+// AddEntry starts an entry. Publish adds it to the platform's VM list.
 func (f *Fleet) AddEntry() (*entry.Entry, error) {
-	callers, err := f.listen()
+	callers, err := f.listenLoopback()
 	if err != nil {
 		return nil, err
 	}
-	peers, err := f.listen()
+	peers, err := f.listenLoopback()
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
-	f.births++
-	name := fmt.Sprintf("entry-%d", f.births)
+	f.processesStarted++
+	name := fmt.Sprintf("entry-%d", f.processesStarted)
 	f.mu.Unlock()
 	domains := f.domains()
 	raw, err := json.Marshal(map[string]any{
 		"node": name, "failure-domain": domains[len(f.entries)%len(domains)], "caller-address": callers.Addr().String(),
 		"peer-address": peers.Addr().String(), "store-addresses": []string{f.platform.StoreURL()}, "vm-list-url": f.platform.ListURL(),
-		"claim-partitions": max(f.shape.Partitions, 1),
+		"claim-partitions": max(f.spec.Partitions, 1),
 	})
 	if err != nil {
 		return nil, err
@@ -278,7 +280,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := entry.New(s, callers, peers, f.logger, time.Now, entry.WithInvariants(f.invariants), entry.WithDialer(f.shape.Network), entry.WithGrace(100*time.Millisecond))
+	e := entry.New(s, callers, peers, f.logger, time.Now, entry.WithInvariants(f.invariants), entry.WithDialer(f.spec.Network), entry.WithGrace(100*time.Millisecond))
 	f.mu.Lock()
 	f.entries = append(f.entries, e)
 	f.mu.Unlock()
@@ -286,20 +288,20 @@
 }
 
 func (f *Fleet) domains() []string {
-	inv, findings := inventory.Parse(f.shape.Inventory)
+	inv, findings := inventory.Parse(f.spec.Inventory)
 	if len(findings) > 0 {
 		return []string{"unknown"}
 	}
 	return inv.FailureDomains()
 }
 
-// Publish puts the present upstreams and entries on the platform's list.
+// Publish replaces the platform's VM list with the current upstreams and entries.
 func (f *Fleet) Publish() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []vmlist.VM
-	for _, p := range f.places {
-		list = append(list, p.vm)
+	for _, u := range f.upstreams {
+		list = append(list, u.vm)
 	}
 	for i, e := range f.entries {
 		list = append(list, vmlist.NewEntry(fmt.Sprintf("vm-entry-%d", i), e.CallerAddr(), "any"))
@@ -307,15 +309,14 @@
 	return f.platform.List().Set(list)
 }
 
-// AwaitReady waits until every entry has the newest configuration and has
-// heard from every upstream.
+// AwaitReady waits until every entry is ready and has heard from every upstream.
 func (f *Fleet) AwaitReady() error {
-	deadline := time.Now().Add(startWithin)
+	deadline := time.Now().Add(startTimeout)
 	for !f.ready() {
 		if time.Now().After(deadline) {
-			return NotStarted.New("the site did not come up within %s; run again with --verbose and read the log", startWithin)
+			return NotStarted.New("the site did not come up within %s; run again with --verbose and read the log", startTimeout)
 		}
-		time.Sleep(startPoll)
+		time.Sleep(startPollInterval)
 	}
 	return nil
 }
@@ -324,7 +325,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, e := range f.entries {
-		if !e.Ready() || e.Upstreams() < len(f.places) {
+		if !e.Ready() || e.Upstreams() < len(f.upstreams) {
 			return false
 		}
 	}
@@ -338,7 +339,7 @@
 	return append([]*entry.Entry(nil), f.entries...)
 }
 
-// URLs returns the callers' addresses.
+// URLs returns the base URLs at which callers reach the entries.
 func (f *Fleet) URLs() []string {
 	var urls []string
 	for _, e := range f.Entries() {
@@ -347,20 +348,20 @@
 	return urls
 }
 
-// Engine returns a model upstream's stand-in.
-func (f *Fleet) Engine(name string) *engine.Engine { return f.place(name).engine }
+// Engine returns the stand-in engine of a model upstream, nil for a plain one.
+func (f *Fleet) Engine(name string) *engine.Engine { return f.findUpstream(name).engine }
 
-// Agent returns an upstream's agent.
+// Agent returns the current agent of an upstream.
 func (f *Fleet) Agent(name string) *agent.Agent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.places[name].agent
+	return f.upstreams[name].agent
 }
 
-func (f *Fleet) place(name string) *place {
+func (f *Fleet) findUpstream(name string) *upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.places[name]
+	return f.upstreams[name]
 }
 
 // Upstreams returns the names of all upstreams.
@@ -368,49 +369,51 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var names []string
-	for name := range f.places {
+	for name := range f.upstreams {
 		names = append(names, name)
 	}
 	return names
 }
 
-// Effects returns the ledger of the booking stand-ins.
+// Effects returns the record of the actions that the booking stand-ins executed.
 func (f *Fleet) Effects() *service.Ledger { return f.effects }
 
-// Prefill returns the ledger of the model stand-ins.
+// Prefill returns the prefill counters of the stand-in engines.
 func (f *Fleet) Prefill() *engine.Ledger { return f.prefill }
 
-// KillAgent ends an agent's process without notice, and starts another.
+// KillAgent closes an agent without draining it and starts a replacement at the
+// same address.
 func (f *Fleet) KillAgent(name string) error {
-	p := f.place(name)
-	address := p.agent.Addr()
-	_ = p.agent.Close()
-	return f.startAgent(p, address)
+	u := f.findUpstream(name)
+	address := u.agent.Addr()
+	_ = u.agent.Close()
+	return f.startAgent(u, address)
 }
 
-// RestartAgent stops an agent as planned, and starts another.
+// RestartAgent drains and closes an agent and starts a replacement at the same
+// address.
 func (f *Fleet) RestartAgent(name string) error {
-	p := f.place(name)
-	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
+	u := f.findUpstream(name)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
-	if err := p.agent.Drain(ctx); err != nil {
+	if err := u.agent.Drain(ctx); err != nil {
 		return err
 	}
-	address := p.agent.Addr()
-	_ = p.agent.Close()
-	return f.startAgent(p, address)
+	address := u.agent.Addr()
+	_ = u.agent.Close()
+	return f.startAgent(u, address)
 }
 
-// KillEntry ends an entry's process without notice.
+// KillEntry ends an entry without draining it.
 func (f *Fleet) KillEntry(e *entry.Entry) error {
-	f.forget(e)
+	f.removeEntry(e)
 	return e.Kill()
 }
 
-// StopEntry stops an entry as planned.
+// StopEntry drains and closes an entry.
 func (f *Fleet) StopEntry(e *entry.Entry) error {
-	f.forget(e)
-	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
+	f.removeEntry(e)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := e.Drain(ctx); err != nil {
 		return err
@@ -418,27 +421,27 @@
 	return e.Close()
 }
 
-func (f *Fleet) forget(e *entry.Entry) {
+func (f *Fleet) removeEntry(e *entry.Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var kept []*entry.Entry
-	for _, known := range f.entries {
-		if known != e {
-			kept = append(kept, known)
+	var remaining []*entry.Entry
+	for _, candidate := range f.entries {
+		if candidate != e {
+			remaining = append(remaining, candidate)
 		}
 	}
-	f.entries = kept
+	f.entries = remaining
 }
 
-// Close stops everything and waits.
+// Close stops all processes of the site and waits for them.
 func (f *Fleet) Close() error {
 	for _, e := range f.Entries() {
 		_ = e.Close()
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range f.places {
-		f.closePlace(p)
+	for _, u := range f.upstreams {
+		f.closeUpstream(u)
 	}
 	if f.platform != nil {
 		return f.platform.Close()
@@ -446,14 +449,14 @@
 	return nil
 }
 
-func (f *Fleet) closePlace(p *place) {
-	_ = p.agent.Close()
-	if p.engine != nil {
-		_ = p.engine.Close()
+func (f *Fleet) closeUpstream(u *upstream) {
+	_ = u.agent.Close()
+	if u.engine != nil {
+		_ = u.engine.Close()
 	}
-	if p.service != nil {
-		_ = p.service.Close()
+	if u.service != nil {
+		_ = u.service.Close()
 	}
 }
 
-func (f *Fleet) listen() (net.Listener, error) { return f.shape.Network.Listen("127.0.0.1:0") }
+func (f *Fleet) listenLoopback() (net.Listener, error) { return f.spec.Network.Listen("127.0.0.1:0") }
--- a/internal/trial/fleet/fleet_test.go
+++ b/internal/trial/fleet/fleet_test.go
@@ -18,23 +18,23 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/load"
 )
 
-func TestWholeSiteServesItsLoad(t *testing.T) {
+func TestSiteServesItsLoadInTime(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		shape, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
+		spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
 		require.NoError(t, err)
 		net := network.New()
-		shape.Network = net
-		plan, _, err := fleet.PlanOf(shape, 5*time.Second)
+		spec.Network = net
+		plan, _, err := fleet.PlanOf(spec, 5*time.Second)
 		require.NoError(t, err)
 		logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 		invariants := invariant.New(logger)
-		site, err := fleet.New(shape, logger, invariants)
+		site, err := fleet.New(spec, logger, invariants)
 		require.NoError(t, err)
 		callers := load.New(plan, net, site.URLs)
 		callers.Run(context.Background())
 		require.NoError(t, site.Close())
 		for _, s := range callers.Samples() {
-			require.Equal(t, load.InTime, s.Ending, "%+v", s)
+			require.Equal(t, load.InTime, s.Outcome, "%+v", s)
 		}
 		require.NotEmpty(t, callers.Samples())
 		require.Zero(t, invariants.Total())
--- a/internal/trial/fleet/session_test.go
+++ b/internal/trial/fleet/session_test.go
@@ -26,9 +26,9 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/fleet"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// session is a whole small site with a transcript of what callers sent and got.
+// session is a small site with an HTTP client that sends calls to it.
 type session struct {
 	t      *testing.T
 	site   *fleet.Fleet
@@ -44,16 +44,17 @@
 	body   string
 }
 
-// play runs a session and compares its transcript with the golden file.
-func play(t *testing.T, name string, run func(s *session) string) {
+// runSession runs a session on a new site and compares the transcript that it
+// returns with the golden file.
+func runSession(t *testing.T, name string, run func(s *session) string) {
 	bubble.Run(t, func(t *testing.T) {
-		shape, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
+		spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
 		require.NoError(t, err)
 		net := network.New()
-		shape.Network, shape.Engines, shape.Bookings = net, shape.Engines[:2], shape.Bookings[:2]
+		spec.Network, spec.Engines, spec.Bookings = net, spec.Engines[:2], spec.Bookings[:2]
 		logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 		invariants := invariant.New(logger)
-		site, err := fleet.New(shape, logger, invariants)
+		site, err := fleet.New(spec, logger, invariants)
 		require.NoError(t, err)
 		transport := &http.Transport{DialContext: net.DialContext}
 		s := &session{t: t, site: site, client: &http.Client{Transport: transport}}
@@ -61,11 +62,11 @@
 		transport.CloseIdleConnections()
 		require.NoError(t, site.Close())
 		require.Zero(t, invariants.Total())
-		compare(t, name, got)
+		compareWithGolden(t, name, got)
 	})
 }
 
-func compare(t *testing.T, name, got string) {
+func compareWithGolden(t *testing.T, name, got string) {
 	path := filepath.Join("testdata", "sessions", name+".golden")
 	if *update {
 		require.NoError(t, os.WriteFile(path, []byte(got), 0o600))
@@ -75,7 +76,7 @@
 	require.Equal(t, string(want), got)
 }
 
-// do sends one call and returns its part of the transcript.
+// do sends one call and returns the transcript of request and response.
 func (s *session) do(c call) string {
 	request, err := http.NewRequestWithContext(context.Background(), c.method, s.site.URLs()[c.entry]+c.path, bytes.NewReader([]byte(c.body)))
 	require.NoError(s.t, err)
@@ -91,9 +92,9 @@
 	return fmt.Sprintf("> entry %d: %s %s %v\n> %s\n%s\n", c.entry, c.method, c.path, c.header, c.body, transcript(response, body))
 }
 
-var varying = regexp.MustCompile(`[A-Z2-7]{26}`)
+var generatedID = regexp.MustCompile(`[A-Z2-7]{26}`)
 
-// transcript writes an answer without what differs from run to run.
+// transcript formats a response without the date, with generated identifiers replaced.
 func transcript(response *http.Response, body []byte) string {
 	var lines []string
 	for name, values := range response.Header {
@@ -103,7 +104,7 @@
 	}
 	sort.Strings(lines)
 	text := fmt.Sprintf("< %d\n%s\n%s", response.StatusCode, strings.Join(lines, "\n"), body)
-	return varying.ReplaceAllString(text, "<id>")
+	return generatedID.ReplaceAllString(text, "<id>")
 }
 
 func critique(mark string, length int) call {
@@ -112,13 +113,13 @@
 }
 
 func TestSessionStreamedCritique(t *testing.T) {
-	play(t, "streamed-critique", func(s *session) string { return s.do(critique("sketch-1", 6)) })
+	runSession(t, "streamed-critique", func(s *session) string { return s.do(critique("sketch-1", 6)) })
 }
 
-// Two students ask at once through one entry, the first for a longer answer:
-// the answers cross on the link, and each gets its own.
+// Two concurrent calls through one entry, the first with the longer answer, are
+// interleaved on the link; each caller must get its own answer.
 func TestSessionCrossingAnswers(t *testing.T) {
-	play(t, "crossing-answers", func(s *session) string {
+	runSession(t, "crossing-answers", func(s *session) string {
 		var long, short string
 		var both sync.WaitGroup
 		both.Go(func() { long = s.do(critique("long", 9)) })
@@ -131,40 +132,40 @@
 	})
 }
 
-// An enrolment is sent twice at once with one key, through two entries, and a
-// third time later: it runs once and all three get the whole answer. With
-// another body the key is refused.
+// The same idempotency key is sent concurrently through two entries and a third
+// time later: the action runs once and all three calls get the complete answer.
+// A fourth call with the same key and another body is refused.
 func TestSessionEnrolmentSentTwice(t *testing.T) {
-	play(t, "enrolment-twice", func(s *session) string {
-		seat := call{method: http.MethodPost, path: "/booking/enrolments", header: map[string]string{"Idempotency-Key": "seat-41"}, body: `{"class":"evening","learner":"Nadia"}`}
-		other := seat
-		other.entry = 1
+	runSession(t, "enrolment-twice", func(s *session) string {
+		enrolment := call{method: http.MethodPost, path: "/booking/enrolments", header: map[string]string{"Idempotency-Key": "seat-41"}, body: `{"class":"evening","learner":"Nadia"}`}
+		throughOtherEntry := enrolment
+		throughOtherEntry.entry = 1
 		var first, second string
 		var both sync.WaitGroup
-		both.Go(func() { first = s.do(seat) })
-		both.Go(func() { second = s.do(other) })
+		both.Go(func() { first = s.do(enrolment) })
+		both.Go(func() { second = s.do(throughOtherEntry) })
 		both.Wait()
-		third := s.do(seat)
-		changed := other
-		changed.body = `{"class":"evening","learner":"Salma"}`
-		fourth := s.do(changed)
+		third := s.do(enrolment)
+		changedBody := throughOtherEntry
+		changedBody.body = `{"class":"evening","learner":"Salma"}`
+		fourth := s.do(changedBody)
 		require.Equal(s.t, 1, s.site.Effects().Effects("seat-41"))
 		return first + second + third + fourth
 	})
 }
 
-// One student's browser stops reading, and the tutor is slow for everybody.
-// The caller reads the first byte of a long answer and then nothing. What the
-// system holds for it is bounded, so the engine is held back; another critique
-// over the same link is answered as ever.
-func TestSlowReaderIsBoundedAndStarvesNobody(t *testing.T) {
+// Guards against a caller that stops reading and delays others on the same link.
+// The caller reads the response headers of a long answer and nothing more. The
+// buffered part of the answer must be bounded, so that the engine gets
+// backpressure, and another call over the same link must be answered in time.
+func TestSlowReaderIsBoundedAndDelaysNoOtherCaller(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		shape, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
+		spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
 		require.NoError(t, err)
 		net := network.New()
-		shape.Network, shape.Entries, shape.Engines = net, 1, shape.Engines[:1]
-		shape.Engines[0].Settings.TokenGap = time.Millisecond
-		site, err := fleet.New(shape, slog.New(slog.NewTextHandler(io.Discard, nil)), invariant.New(slog.New(slog.NewTextHandler(io.Discard, nil))))
+		spec.Network, spec.Entries, spec.Engines = net, 1, spec.Engines[:1]
+		spec.Engines[0].Settings.TokenGap = time.Millisecond
+		site, err := fleet.New(spec, slog.New(slog.NewTextHandler(io.Discard, nil)), invariant.New(slog.New(slog.NewTextHandler(io.Discard, nil))))
 		require.NoError(t, err)
 		s := &session{t: t, site: site, client: &http.Client{Transport: &http.Transport{DialContext: net.DialContext, DisableKeepAlives: true}}}
 		request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, site.URLs()[0]+"/v1/chat/completions", strings.NewReader(critique("slow", 60000).body))
@@ -174,21 +175,21 @@
 		slow, err := s.client.Do(request)
 		require.NoError(t, err)
 		bubble.Pass(20 * time.Second)
-		held := site.Engine(shape.Engines[0].Name).Tokens()
-		t.Logf("%d tokens held", held)
-		started := time.Now()
+		streamed := site.Engine(spec.Engines[0].Name).Tokens()
+		t.Logf("engine streamed %d tokens before backpressure", streamed)
+		startedAt := time.Now()
 		require.Contains(t, s.do(critique("other", 20)), "other:19")
-		require.Less(t, time.Since(started), 2*time.Second)
+		require.Less(t, time.Since(startedAt), 2*time.Second)
 		// A token is about 100 bytes: two windows of 256 KB, the answer's buffer
-		// of 64 KB and the connections' own hold under a megabyte.
-		require.Less(t, held, 10000)
+		// of 64 KB and the connections' own buffers hold less than 1 MB.
+		require.Less(t, streamed, 10000)
 		require.NoError(t, slow.Body.Close())
 		require.NoError(t, site.Close())
 	})
 }
 
 func TestSessionRefusals(t *testing.T) {
-	play(t, "refusals", func(s *session) string {
+	runSession(t, "refusals", func(s *session) string {
 		return s.do(call{method: http.MethodPost, path: "/booking/payments", body: "{}"}) +
 			s.do(call{method: http.MethodPost, path: "/v1/chat/completions", body: "{"}) +
 			s.do(call{method: http.MethodPost, path: "/v1/chat/completions", header: map[string]string{"X-Deadline": "1ms"}, body: critique("late", 400).body})
--- a/internal/trial/fleet/spec.go
+++ b/internal/trial/fleet/spec.go
@@ -11,28 +11,29 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/load"
 )
 
-// Sizes of a site that is derived from an inventory.
+// Sizes of a site that is derived from an inventory. The numbers of upstreams are
+// per service.
 const (
-	defaultEntries    = 2
-	defaultPartitions = 4
-	modelUpstreams    = 20
-	plainUpstreams    = 3
-	// tokenGapTarget is what an upstream's limit aims at in trials, where
-	// everything is several times faster than at a real site.
+	defaultEntries           = 2
+	defaultPartitions        = 4
+	modelUpstreamsPerService = 20
+	plainUpstreamsPerService = 3
+	// tokenGapTarget is the token gap that concurrency limits aim for. It is
+	// several times shorter than at a real site, as the stand-in engines are faster.
 	tokenGapTarget = 12 * time.Millisecond
 )
 
-// generations are the token gaps of the four kinds of hardware.
-var generations = []time.Duration{3 * time.Millisecond, 4 * time.Millisecond, 5 * time.Millisecond, 8 * time.Millisecond}
+// hardwareTokenGaps are the token gaps of four hardware generations.
+var hardwareTokenGaps = []time.Duration{3 * time.Millisecond, 4 * time.Millisecond, 5 * time.Millisecond, 8 * time.Millisecond}
 
-// ShapeOf derives a trial site from an operator's files: stand-ins for every
-// service, in its current version, spread over the failure domains.
-func ShapeOf(inventoryFile, rulesFile []byte, seed uint64) (Shape, error) {
+// ShapeOf derives a site from an operator's files: upstreams for every service,
+// in its current version, spread over the failure domains.
+func ShapeOf(inventoryFile, rulesFile []byte, seed uint64) (Spec, error) {
 	doc, findings := document.Build(inventoryFile, rulesFile)
 	if len(findings) > 0 {
-		return Shape{}, NotStarted.New("%s; run `persimmonridge check` on the files", findings[0].String())
+		return Spec{}, NotStarted.New("%s; run `persimmonridge check` on the files", findings[0].String())
 	}
-	s := Shape{Inventory: inventoryFile, Rules: rulesFile, Entries: defaultEntries, Partitions: defaultPartitions, Seed: seed, Network: &OS{}}
+	spec := Spec{Inventory: inventoryFile, Rules: rulesFile, Entries: defaultEntries, Partitions: defaultPartitions, Seed: seed, Network: &OS{}}
 	inv := doc.Inventory()
 	domains := inv.FailureDomains()
 	for _, name := range inv.ServiceNames() {
@@ -42,38 +43,39 @@
 			version = service.Versions()[0]
 		}
 		if service.Kind() == inventory.Model {
-			for i := range modelUpstreams {
-				s.Engines = append(s.Engines, engineShape(name, version, i, domains, seed))
+			for i := range modelUpstreamsPerService {
+				spec.Engines = append(spec.Engines, newEngineSpec(name, version, i, domains, seed))
 			}
 			continue
 		}
-		for i := range plainUpstreams {
-			s.Bookings = append(s.Bookings, BookingShape{Name: fmt.Sprintf("%s-%02d", name, i), Service: name, Version: version, Domain: domains[i%len(domains)], Delay: 15 * time.Millisecond})
+		for i := range plainUpstreamsPerService {
+			spec.Bookings = append(spec.Bookings, BookingSpec{Name: fmt.Sprintf("%s-%02d", name, i), Service: name, Version: version, Domain: domains[i%len(domains)], Delay: 15 * time.Millisecond})
 		}
 	}
-	return s, nil
+	return spec, nil
 }
 
-func engineShape(service, version string, i int, domains []string, seed uint64) EngineShape {
-	gap := generations[i%len(generations)]
-	return EngineShape{
-		Name: fmt.Sprintf("%s-%02d", service, i), Service: service, Version: version, Domain: domains[i%len(domains)],
-		Weight: float64(generations[0]) / float64(gap), Limit: 8, MaxLimit: 16, TokenGap: tokenGapTarget,
+func newEngineSpec(service, version string, number int, domains []string, seed uint64) EngineSpec {
+	tokenGap := hardwareTokenGaps[number%len(hardwareTokenGaps)]
+	return EngineSpec{
+		Name: fmt.Sprintf("%s-%02d", service, number), Service: service, Version: version, Domain: domains[number%len(domains)],
+		Weight: float64(hardwareTokenGaps[0]) / float64(tokenGap), Limit: 8, MaxLimit: 16, TokenGap: tokenGapTarget,
 		Settings: engine.Settings{
-			TokenGap: gap, Knee: 8, PrefillRate: 20000, CacheTokens: 6000, LoadLag: 500 * time.Millisecond,
-			RestartAfter: 300 * time.Millisecond, Seed: seed + uint64(i),
+			TokenGap: tokenGap, Knee: 8, PrefillRate: 20000, CacheTokens: 6000, LoadLag: 500 * time.Millisecond,
+			RestartAfter: 300 * time.Millisecond, Seed: seed + uint64(number),
 		},
 	}
 }
 
-// PlanOf derives a load from the same files. Model actions get lengths that
-// span a hundredfold over the actions, in order of their tiers.
-func PlanOf(shape Shape, duration time.Duration) (load.Plan, []string, error) {
-	doc, findings := document.Build(shape.Inventory, shape.Rules)
+// PlanOf derives a load plan from the files of the spec, and returns it with the
+// names of the tiers. The answer length of a model action depends on its tier;
+// over all tiers the lengths span a factor of about 100.
+func PlanOf(spec Spec, duration time.Duration) (load.Plan, []string, error) {
+	doc, findings := document.Build(spec.Inventory, spec.Rules)
 	if len(findings) > 0 {
 		return load.Plan{}, nil, NotStarted.New("%s; run `persimmonridge check` on the files", findings[0].String())
 	}
-	plan := load.Plan{Seed: shape.Seed, Duration: duration, Rate: 80, Burst: 2.5, PrefixBytes: 4000}
+	plan := load.Plan{Seed: spec.Seed, Duration: duration, Rate: 80, Burst: 2.5, PrefixBytes: 4000}
 	inv := doc.Inventory()
 	plan.Workspaces = inv.Workspaces()
 	sort.SliceStable(plan.Workspaces, func(i, j int) bool {
@@ -84,46 +86,46 @@
 	for _, name := range inv.ServiceNames() {
 		service, _ := inv.Service(name)
 		for _, action := range service.Actions() {
-			plan.Actions = append(plan.Actions, actionOf(doc, service, action))
+			plan.Actions = append(plan.Actions, newLoadAction(doc, service, action))
 		}
 	}
 	return plan, doc.Rules().Tiers(), nil
 }
 
-// lengths are the answer lengths of model actions by their tier: long
-// critiques, quick answers, short tags.
-var lengths = [][2]int{{150, 450}, {20, 120}, {4, 16}}
+// answerLengthsByTier are the minimum and maximum answer lengths of model actions,
+// in tokens: long critiques, quick answers, short tags.
+var answerLengthsByTier = [][2]int{{150, 450}, {20, 120}, {4, 16}}
 
-func actionOf(doc document.Document, service inventory.Service, action inventory.Action) load.Action {
+func newLoadAction(doc document.Document, service inventory.Service, action inventory.Action) load.Action {
 	rule := doc.Rules().Action(action.Route())
-	a := load.Action{Name: action.Route(), Tier: rule.Tier(), Weight: 1, Deadline: rule.Deadline()}
+	loadAction := load.Action{Name: action.Route(), Tier: rule.Tier(), Weight: 1, Deadline: rule.Deadline()}
 	if service.Kind() == inventory.Model {
-		length := lengths[min(rule.Tier(), len(lengths)-1)]
-		a.Model, a.MinTokens, a.MaxTokens = action.Route(), length[0], length[1]
-		a.Weight = 2
-		return a
+		bounds := answerLengthsByTier[min(rule.Tier(), len(answerLengthsByTier)-1)]
+		loadAction.Model, loadAction.MinTokens, loadAction.MaxTokens = action.Route(), bounds[0], bounds[1]
+		loadAction.Weight = 2
+		return loadAction
 	}
-	a.Method, a.Path = action.Method(), "/"+service.Name()+examplePath(action.Path())
-	a.Keyed = !rule.RepeatSafe()
-	a.TwiceShare = 0.2
-	a.Weight = 0.3
-	return a
+	loadAction.Method, loadAction.Path = action.Method(), "/"+service.Name()+fillPathParameters(action.Path())
+	loadAction.Keyed = !rule.RepeatSafe()
+	loadAction.DuplicateShare = 0.2
+	loadAction.Weight = 0.3
+	return loadAction
 }
 
-// examplePath fills a path's parameters in.
-func examplePath(pattern string) string {
-	out := []byte{}
-	inside := false
+// fillPathParameters replaces the parameters of a path pattern by a sample value.
+func fillPathParameters(pattern string) string {
+	filled := []byte{}
+	inParameter := false
 	for _, c := range []byte(pattern) {
 		switch {
 		case c == '{':
-			inside = true
-			out = append(out, "evening"...)
+			inParameter = true
+			filled = append(filled, "evening"...)
 		case c == '}':
-			inside = false
-		case !inside:
-			out = append(out, c)
+			inParameter = false
+		case !inParameter:
+			filled = append(filled, c)
 		}
 	}
-	return string(out)
+	return string(filled)
 }
--- a/internal/trial/load/load.go
+++ b/internal/trial/load/load.go
@@ -1,6 +1,6 @@
-// Package load plays callers against running entries: a seeded mix of actions
-// with hundredfold lengths and bursts, resends included, and notes what each
-// caller saw.
+// Package load generates seeded caller traffic against running entries: a mix of
+// actions whose answer lengths span a factor of 100, with bursts, duplicates and
+// retries. It records the outcome that each caller saw.
 package load
 
 import (
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// Action is one kind of request in the mix.
+// Action is one kind of request in the traffic mix.
 type Action struct {
 	Name string
-	// Tier is the index of its tier, for the report.
+	// Tier is the index of the action's tier, for the report.
 	Tier     int
 	Weight   float64
 	Deadline time.Duration
@@ -30,62 +30,64 @@
 	Model  string
 	Method string
 	Path   string
-	// MinTokens and MaxTokens bound the answer's length.
+	// MinTokens and MaxTokens bound the answer length of chat completions.
 	MinTokens int
 	MaxTokens int
-	// Keyed actions carry an idempotency key, and are sent again when their
-	// outcome is unknown or they were refused.
+	// Keyed actions carry an idempotency key and are retried if they were refused
+	// or their outcome is unknown.
 	Keyed bool
-	// TwiceShare of the keyed ones are sent through two entries at once.
-	TwiceShare float64
+	// DuplicateShare is the share of keyed requests that are sent twice
+	// concurrently, each time through a randomly chosen entry.
+	DuplicateShare float64
 }
 
-// Plan is a whole load.
+// Plan describes the traffic.
 type Plan struct {
 	Seed     uint64
 	Duration time.Duration
-	// Rate is requests a second outside bursts.
+	// Rate is the number of requests per second outside of the burst.
 	Rate float64
-	// Burst multiplies the rate in the middle fifth of the time.
+	// Burst multiplies the rate in the middle fifth of the duration; 0 for no burst.
 	Burst      float64
 	Actions    []Action
 	Workspaces []string
-	// PrefixBytes is the length of the system prompt that an action's requests
-	// share in a workspace.
+	// PrefixBytes is the length of the system prompt, which the requests of one
+	// action in one workspace share.
 	PrefixBytes int
 }
 
-// Ending is what a caller saw.
-type Ending string
+// Outcome is the result of a request as its caller saw it.
+type Outcome string
 
-// The endings.
+// The outcomes of a request.
 const (
-	InTime     Ending = "in-time"
-	Late       Ending = "late"
-	NotRun     Ending = "not-run"
-	MayHaveRun Ending = "may-have-run"
-	// Cut is an answer that visibly broke off.
-	Cut Ending = "cut"
-	// Wrong is an answer that looked whole and was not, or was another's.
-	Wrong Ending = "wrong"
+	InTime     Outcome = "in-time"
+	Late       Outcome = "late"
+	NotRun     Outcome = "not-run"
+	MayHaveRun Outcome = "may-have-run"
+	// Cut is a request whose connection failed before its answer was complete.
+	Cut Outcome = "cut"
+	// Wrong is an answer that ended without an error but was incomplete, or that
+	// belongs to another request.
+	Wrong Outcome = "wrong"
 	// Unreached is a request for which no entry could be reached.
-	Unreached Ending = "unreached"
+	Unreached Outcome = "unreached"
 )
 
-// Sample is one caller's request.
+// Sample records one request and its outcome.
 type Sample struct {
-	Action string
-	Tier   int
-	Key    string
-	Ending Ending
-	Kind   string
-	// RequestID is the last try's, as the entry named it.
+	Action    string
+	Tier      int
+	Key       string
+	Outcome   Outcome
+	ErrorType string
+	// RequestID is the X-Request-Id of the last attempt's response.
 	RequestID string
-	// At is when the request was first sent, after the load's beginning.
-	At         time.Duration
+	// SentAfter is the time from the start of the load to the first attempt.
+	SentAfter  time.Duration
 	FirstToken time.Duration
-	Took       time.Duration
-	Tries      int
+	Duration   time.Duration
+	Attempts   int
 	Tokens     int
 }
 
@@ -94,55 +96,56 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Callers plays a plan.
+// Callers sends the requests of a plan.
 type Callers struct {
 	plan   Plan
 	urls   func() []string
 	client *http.Client
 
-	started time.Time
+	startedAt time.Time
 
 	mu      sync.Mutex
 	samples []Sample
 	sent    int
 }
 
-// New returns callers that send to the entries that urls names at the time.
+// New returns callers that send each request to one of the entries that urls
+// returns at that moment.
 func New(plan Plan, dialer Dialer, urls func() []string) *Callers {
 	transport := &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 256, DisableCompression: true}
 	return &Callers{plan: plan, urls: urls, client: &http.Client{Transport: transport}}
 }
 
-// Samples returns what was seen so far.
+// Samples returns the requests that have ended so far.
 func (c *Callers) Samples() []Sample {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Sample(nil), c.samples...)
 }
 
-// Sent returns the number of requests begun.
+// Sent returns the number of requests started so far.
 func (c *Callers) Sent() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sent
 }
 
-// Run plays the plan and waits for all answers.
+// Run sends the requests of the plan and waits until all have ended.
 func (c *Callers) Run(ctx context.Context) {
 	random := rand.New(rand.NewPCG(c.plan.Seed, 2))
-	c.started = time.Now()
+	c.startedAt = time.Now()
 	var callers sync.WaitGroup
 	for number := 0; ; number++ {
-		elapsed := time.Since(c.started)
+		elapsed := time.Since(c.startedAt)
 		if elapsed >= c.plan.Duration || ctx.Err() != nil {
 			break
 		}
-		job := c.draw(random, number)
+		planned := c.drawRequest(random, number)
 		c.mu.Lock()
 		c.sent++
 		c.mu.Unlock()
-		callers.Go(func() { c.call(ctx, job) })
-		gap := random.ExpFloat64() / (c.plan.Rate * c.plan.factor(elapsed))
+		callers.Go(func() { c.sendRequest(ctx, planned) })
+		gap := random.ExpFloat64() / (c.plan.Rate * c.plan.rateFactor(elapsed))
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(gap * float64(time.Second))):
@@ -152,136 +155,137 @@
 	c.client.CloseIdleConnections()
 }
 
-// factor is the burst: the middle fifth of the time.
-func (p Plan) factor(elapsed time.Duration) float64 {
-	part := float64(elapsed) / float64(p.Duration)
-	if p.Burst > 0 && part >= 0.4 && part < 0.6 {
+// rateFactor returns the multiplier of the rate: Burst in the middle fifth of the
+// duration, 1 otherwise.
+func (p Plan) rateFactor(elapsed time.Duration) float64 {
+	fraction := float64(elapsed) / float64(p.Duration)
+	if p.Burst > 0 && fraction >= 0.4 && fraction < 0.6 {
 		return p.Burst
 	}
 	return 1
 }
 
-// job is one drawn request.
-type job struct {
+// plannedRequest is a request drawn from the plan.
+type plannedRequest struct {
 	action    Action
 	workspace string
-	mark      string
+	marker    string
 	tokens    int
-	twice     bool
+	duplicate bool
 	random    *rand.Rand
 }
 
-func (c *Callers) draw(random *rand.Rand, number int) job {
+func (c *Callers) drawRequest(random *rand.Rand, number int) plannedRequest {
 	total := 0.0
 	for _, a := range c.plan.Actions {
 		total += a.Weight
 	}
-	at := random.Float64() * total
+	remaining := random.Float64() * total
 	chosen := c.plan.Actions[len(c.plan.Actions)-1]
 	for _, a := range c.plan.Actions {
-		if at < a.Weight {
+		if remaining < a.Weight {
 			chosen = a
 			break
 		}
-		at -= a.Weight
+		remaining -= a.Weight
 	}
-	// The first workspaces are the large ones: the square makes them so.
-	share := random.Float64()
-	workspace := c.plan.Workspaces[int(share*share*float64(len(c.plan.Workspaces)))]
+	// Squaring the uniform variate prefers the workspaces at the head of the list.
+	position := random.Float64()
+	workspace := c.plan.Workspaces[int(position*position*float64(len(c.plan.Workspaces)))]
 	tokens := chosen.MinTokens
 	if chosen.MaxTokens > chosen.MinTokens {
 		tokens += random.IntN(chosen.MaxTokens - chosen.MinTokens)
 	}
-	return job{
-		action: chosen, workspace: workspace, mark: fmt.Sprintf("s%d-n%d", c.plan.Seed, number), tokens: tokens,
-		twice: chosen.Keyed && random.Float64() < chosen.TwiceShare, random: rand.New(rand.NewPCG(c.plan.Seed, uint64(number))),
+	return plannedRequest{
+		action: chosen, workspace: workspace, marker: fmt.Sprintf("s%d-n%d", c.plan.Seed, number), tokens: tokens,
+		duplicate: chosen.Keyed && random.Float64() < chosen.DuplicateShare, random: rand.New(rand.NewPCG(c.plan.Seed, uint64(number))),
 	}
 }
 
-func (c *Callers) call(ctx context.Context, j job) {
-	var both sync.WaitGroup
-	if j.twice {
-		second := j
-		second.random = rand.New(rand.NewPCG(c.plan.Seed+1, uint64(len(j.mark))))
-		both.Go(func() { c.note(c.once(ctx, second)) })
+func (c *Callers) sendRequest(ctx context.Context, planned plannedRequest) {
+	var sends sync.WaitGroup
+	if planned.duplicate {
+		duplicate := planned
+		duplicate.random = rand.New(rand.NewPCG(c.plan.Seed+1, uint64(len(planned.marker))))
+		sends.Go(func() { c.record(c.sendWithRetries(ctx, duplicate)) })
 	}
-	c.note(c.once(ctx, j))
-	both.Wait()
+	c.record(c.sendWithRetries(ctx, planned))
+	sends.Wait()
 }
 
-func (c *Callers) note(s Sample) {
+func (c *Callers) record(s Sample) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.samples = append(c.samples, s)
 }
 
 const (
-	// mostTries bounds the sends of one keyed action.
-	mostTries = 6
-	// triesApart is the pause between them when none was advised.
-	triesApart = 300 * time.Millisecond
-	// callMost bounds one try.
-	callMost = 90 * time.Second
+	// maxAttempts bounds the attempts of one keyed request.
+	maxAttempts = 6
+	// retryInterval is the minimum delay between attempts.
+	retryInterval = 300 * time.Millisecond
+	// attemptTimeout bounds one attempt.
+	attemptTimeout = 90 * time.Second
 )
 
-// once sends a request, and a keyed one again while its outcome is open: that
-// is what the key is for.
-func (c *Callers) once(ctx context.Context, j job) Sample {
-	started := time.Now()
+// sendWithRetries sends a request. A keyed request is retried until it is answered,
+// which its idempotency key makes safe.
+func (c *Callers) sendWithRetries(ctx context.Context, planned plannedRequest) Sample {
+	startedAt := time.Now()
 	var s Sample
-	at := started.Sub(c.started)
-	for try := 1; ; try++ {
-		var after time.Duration
-		s, after = c.send(ctx, j)
-		s.Tries, s.Took, s.At = try, time.Since(started), at
-		open := s.Ending == NotRun || s.Ending == MayHaveRun || s.Ending == Cut || s.Ending == Unreached
-		if !open || !j.action.Keyed || try == mostTries || ctx.Err() != nil {
+	sentAfter := startedAt.Sub(c.startedAt)
+	for attempt := 1; ; attempt++ {
+		var retryAfter time.Duration
+		s, retryAfter = c.send(ctx, planned)
+		s.Attempts, s.Duration, s.SentAfter = attempt, time.Since(startedAt), sentAfter
+		retryable := s.Outcome == NotRun || s.Outcome == MayHaveRun || s.Outcome == Cut || s.Outcome == Unreached
+		if !retryable || !planned.action.Keyed || attempt == maxAttempts || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(min(max(after, triesApart), time.Second))
+		time.Sleep(min(max(retryAfter, retryInterval), time.Second))
 	}
-	if s.Ending == InTime && s.Took > j.action.Deadline {
-		s.Ending = Late
+	if s.Outcome == InTime && s.Duration > planned.action.Deadline {
+		s.Outcome = Late
 	}
 	return s
 }
 
-func (c *Callers) send(ctx context.Context, j job) (Sample, time.Duration) {
-	s := Sample{Action: j.action.Name, Tier: j.action.Tier, Key: j.key(), Ending: Unreached}
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+func (c *Callers) send(ctx context.Context, planned plannedRequest) (Sample, time.Duration) {
+	s := Sample{Action: planned.action.Name, Tier: planned.action.Tier, Key: planned.key(), Outcome: Unreached}
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	urls := c.urls()
 	if len(urls) == 0 {
 		return s, 0
 	}
-	request, err := c.request(ctx, urls[j.random.IntN(len(urls))], j)
+	request, err := c.newHTTPRequest(ctx, urls[planned.random.IntN(len(urls))], planned)
 	if err != nil {
 		return s, 0
 	}
-	started := time.Now()
+	startedAt := time.Now()
 	response, err := c.client.Do(request)
 	if err != nil {
-		s.Ending = c.unanswered(err)
+		s.Outcome = c.classifyError(err)
 		return s, 0
 	}
 	defer func() { _ = response.Body.Close() }()
 	s.RequestID = response.Header.Get("X-Request-Id")
 	if response.StatusCode >= http.StatusBadRequest {
-		return c.refused(s, response)
+		return c.readRefusal(s, response)
 	}
-	c.read(&s, started, response, j)
+	c.readResponse(&s, startedAt, response, planned)
 	return s, 0
 }
 
-// unanswered tells a connection that was never made from one that broke.
-func (c *Callers) unanswered(err error) Ending {
+// classifyError distinguishes a refused connection from one that broke.
+func (c *Callers) classifyError(err error) Outcome {
 	if strings.Contains(err.Error(), "connection refused") {
 		return Unreached
 	}
 	return Cut
 }
 
-func (c *Callers) refused(s Sample, response *http.Response) (Sample, time.Duration) {
+func (c *Callers) readRefusal(s Sample, response *http.Response) (Sample, time.Duration) {
 	var body struct {
 		Error struct {
 			Type         string `json:"type"`
@@ -289,57 +293,57 @@
 			RetryAfterMS int64  `json:"retry-after-ms"`
 		} `json:"error"`
 	}
-	s.Ending = MayHaveRun
+	s.Outcome = MayHaveRun
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
-		s.Kind = "unreadable"
+		s.ErrorType = "unreadable"
 		return s, 0
 	}
-	s.Kind = body.Error.Type
+	s.ErrorType = body.Error.Type
 	if body.Error.Ran == "not-run" {
-		s.Ending = NotRun
+		s.Outcome = NotRun
 	}
 	return s, time.Duration(body.Error.RetryAfterMS) * time.Millisecond
 }
 
-func (c *Callers) request(ctx context.Context, url string, j job) (*http.Request, error) {
-	method, path, body := j.action.Method, j.action.Path, []byte(fmt.Sprintf(`{"mark":%q}`, j.mark))
-	if j.action.Model != "" {
-		method, path, body = http.MethodPost, "/v1/chat/completions", j.chat(c.plan.PrefixBytes)
+func (c *Callers) newHTTPRequest(ctx context.Context, url string, planned plannedRequest) (*http.Request, error) {
+	method, path, body := planned.action.Method, planned.action.Path, []byte(fmt.Sprintf(`{"mark":%q}`, planned.marker))
+	if planned.action.Model != "" {
+		method, path, body = http.MethodPost, "/v1/chat/completions", planned.chatBody(c.plan.PrefixBytes)
 	}
 	request, err := http.NewRequestWithContext(ctx, method, url+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	request.GetBody = nil
-	request.Header.Set("X-Workspace", j.workspace)
-	request.Header.Set("X-Deadline", j.action.Deadline.String())
-	if j.action.Keyed {
-		request.Header.Set("Idempotency-Key", j.key())
+	request.Header.Set("X-Workspace", planned.workspace)
+	request.Header.Set("X-Deadline", planned.action.Deadline.String())
+	if planned.action.Keyed {
+		request.Header.Set("Idempotency-Key", planned.key())
 	}
 	return request, nil
 }
 
-func (j job) key() string { return "k-" + j.mark }
+func (p plannedRequest) key() string { return "k-" + p.marker }
 
-type chat struct {
-	Model    string    `json:"model"`
-	Stream   bool      `json:"stream"`
-	Messages []message `json:"messages"`
+type chatCompletion struct {
+	Model    string        `json:"model"`
+	Stream   bool          `json:"stream"`
+	Messages []chatMessage `json:"messages"`
 }
 
-type message struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// chat writes a prompt whose system message the workspace's requests for the
-// action share.
-func (j job) chat(prefixBytes int) []byte {
-	system := j.workspace + " " + j.action.Name + " "
-	system += strings.Repeat("x", max(prefixBytes-len(system), 0))
-	raw, err := json.Marshal(chat{Model: j.action.Model, Stream: true, Messages: []message{
-		{Role: "system", Content: system},
-		{Role: "user", Content: fmt.Sprintf("[length=%d] [mark=%s]", j.tokens, j.mark)},
+// chatBody returns a chat completion whose system prompt is the same for all
+// requests of the action in the workspace.
+func (p plannedRequest) chatBody(prefixBytes int) []byte {
+	systemPrompt := p.workspace + " " + p.action.Name + " "
+	systemPrompt += strings.Repeat("x", max(prefixBytes-len(systemPrompt), 0))
+	raw, err := json.Marshal(chatCompletion{Model: p.action.Model, Stream: true, Messages: []chatMessage{
+		{Role: "system", Content: systemPrompt},
+		{Role: "user", Content: fmt.Sprintf("[length=%d] [mark=%s]", p.tokens, p.marker)},
 	}})
 	if err != nil {
 		return nil
@@ -347,21 +351,22 @@
 	return raw
 }
 
-// read takes the answer and checks that it is whole and this request's own.
-func (c *Callers) read(s *Sample, started time.Time, response *http.Response, j job) {
-	if j.action.Model == "" {
-		s.Ending = readPlain(response.Body, j)
-		s.FirstToken = time.Since(started)
+// readResponse reads the answer and checks that it is complete and belongs to this
+// request.
+func (c *Callers) readResponse(s *Sample, startedAt time.Time, response *http.Response, planned plannedRequest) {
+	if planned.action.Model == "" {
+		s.Outcome = readPlain(response.Body, planned)
+		s.FirstToken = time.Since(startedAt)
 		return
 	}
-	readStream(s, started, response.Body, j)
+	readStream(s, startedAt, response.Body, planned)
 }
 
-// readStream judges whole lines only. An upstream that crashes inside an event
-// leaves a torn line in front of the connection's error: that answer is cut,
-// which the caller sees, and not one that looks whole and is another's.
-func readStream(s *Sample, started time.Time, body io.Reader, j job) {
-	s.Ending = Wrong
+// readStream checks complete lines only. An upstream that crashes while it writes
+// an event leaves a partial line before the connection error; the outcome is then
+// Cut, which the caller notices, and not Wrong.
+func readStream(s *Sample, startedAt time.Time, body io.Reader, planned plannedRequest) {
+	s.Outcome = Wrong
 	reader := bufio.NewReader(body)
 	for {
 		line, err := reader.ReadString('\n')
@@ -369,46 +374,46 @@
 			return
 		}
 		if err != nil {
-			if s.Ending != InTime {
-				s.Ending = Cut
+			if s.Outcome != InTime {
+				s.Outcome = Cut
 			}
 			return
 		}
-		if !j.takeLine(s, started, strings.TrimRight(line, "\r\n")) {
+		if !planned.checkLine(s, startedAt, strings.TrimRight(line, "\r\n")) {
 			return
 		}
 	}
 }
 
-// takeLine notes one line of a stream. It tells whether the stream may still be
-// this job's own.
-func (j job) takeLine(s *Sample, started time.Time, line string) bool {
+// checkLine processes one line of a stream. It returns false if the line belongs to
+// another request's answer or is out of sequence.
+func (p plannedRequest) checkLine(s *Sample, startedAt time.Time, line string) bool {
 	if !strings.HasPrefix(line, "data: ") {
 		return true
 	}
 	if line == "data: [DONE]" {
-		if s.Tokens == j.tokens {
-			s.Ending = InTime
+		if s.Tokens == p.tokens {
+			s.Outcome = InTime
 		}
 		return true
 	}
 	if s.Tokens == 0 {
-		s.FirstToken = time.Since(started)
+		s.FirstToken = time.Since(startedAt)
 	}
-	if !strings.Contains(line, fmt.Sprintf("%s:%d ", j.mark, s.Tokens)) {
+	if !strings.Contains(line, fmt.Sprintf("%s:%d ", p.marker, s.Tokens)) {
 		return false
 	}
 	s.Tokens++
 	return true
 }
 
-func readPlain(body io.Reader, j job) Ending {
+func readPlain(body io.Reader, planned plannedRequest) Outcome {
 	content, err := io.ReadAll(body)
-	own := !j.action.Keyed || strings.Contains(string(content), j.key())
+	matchesKey := !planned.action.Keyed || strings.Contains(string(content), planned.key())
 	switch {
 	case err != nil:
 		return Cut
-	case len(content) == 0 || !own:
+	case len(content) == 0 || !matchesKey:
 		return Wrong
 	}
 	return InTime
--- a/internal/trial/report/report.go
+++ b/internal/trial/report/report.go
@@ -1,4 +1,4 @@
-// Package report sums up what callers saw in a trial.
+// Package report summarizes the outcomes that callers saw in a trial.
 package report
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/load"
 )
 
-// Tier is one tier's sum.
+// Tier is the summary of one tier.
 type Tier struct {
 	Name       string  `json:"name"`
 	Offered    int     `json:"offered"`
@@ -28,10 +28,10 @@
 	FirstP95   float64 `json:"first-token-p95-ms"`
 	FirstP99   float64 `json:"first-token-p99-ms"`
 
-	first *hdrhistogram.Histogram
+	firstToken *hdrhistogram.Histogram
 }
 
-// Report is a whole trial's sum.
+// Report is the summary of a trial.
 type Report struct {
 	Seed              uint64             `json:"seed"`
 	Duration          string             `json:"duration"`
@@ -47,26 +47,26 @@
 	RefusalKinds      map[string]int     `json:"refusal-kinds"`
 }
 
-// New sums up samples; names are the tiers, highest first.
+// New summarizes samples; names are the names of the tiers, highest first.
 func New(seed uint64, duration time.Duration, names []string, samples []load.Sample) *Report {
 	r := &Report{Seed: seed, Duration: duration.String(), Requests: len(samples), Goodput: make(map[string]float64), RefusalKinds: make(map[string]int)}
 	for _, name := range names {
-		r.Tiers = append(r.Tiers, Tier{Name: name, first: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)})
+		r.Tiers = append(r.Tiers, Tier{Name: name, firstToken: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)})
 	}
 	for _, s := range samples {
-		r.add(s)
+		r.addSample(s)
 	}
 	for i := range r.Tiers {
-		r.Tiers[i].sum()
+		r.Tiers[i].summarize()
 		r.Goodput[r.Tiers[i].Name] = r.Tiers[i].Goodput
 	}
 	return r
 }
 
-func (r *Report) add(s load.Sample) {
+func (r *Report) addSample(s load.Sample) {
 	t := &r.Tiers[min(s.Tier, len(r.Tiers)-1)]
 	t.Offered++
-	switch s.Ending {
+	switch s.Outcome {
 	case load.InTime:
 		t.InTime++
 	case load.Late:
@@ -84,32 +84,32 @@
 	case load.Unreached:
 		t.Unreached++
 	}
-	if s.Kind != "" {
-		r.RefusalKinds[s.Kind]++
+	if s.ErrorType != "" {
+		r.RefusalKinds[s.ErrorType]++
 	}
 	if s.FirstToken > 0 {
-		_ = t.first.RecordValue(s.FirstToken.Microseconds())
+		_ = t.firstToken.RecordValue(s.FirstToken.Microseconds())
 	}
 }
 
-func (t *Tier) sum() {
+func (t *Tier) summarize() {
 	const microPerMilli = 1000
 	if t.Offered > 0 {
 		t.Goodput = float64(t.InTime) / float64(t.Offered)
 	}
-	t.FirstP50 = float64(t.first.ValueAtQuantile(50)) / microPerMilli
-	t.FirstP95 = float64(t.first.ValueAtQuantile(95)) / microPerMilli
-	t.FirstP99 = float64(t.first.ValueAtQuantile(99)) / microPerMilli
+	t.FirstP50 = float64(t.firstToken.ValueAtQuantile(50)) / microPerMilli
+	t.FirstP95 = float64(t.firstToken.ValueAtQuantile(95)) / microPerMilli
+	t.FirstP99 = float64(t.firstToken.ValueAtQuantile(99)) / microPerMilli
 }
 
-// WriteJSON writes the report as one object.
+// WriteJSON writes the report as one JSON object.
 func (r *Report) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(r)
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a human-readable table.
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "tier\toffered\tin time\tlate\tnot run\tmay have run\tcut\tgoodput\tfirst p50\tp95\tp99\t")
--- a/internal/trial/scenario/run.go
+++ b/internal/trial/scenario/run.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	// crashMark makes any engine die whose body holds it.
-	crashMark = "[crash]"
+	// crashMarker in a request body makes the engine that runs it crash.
+	crashMarker = "[crash]"
 	// service and the versions are those of the Cairo example.
-	service    = "tutor"
-	oldVersion = "easel-1"
-	newVersion = "easel-2"
-	moveName   = "to-easel-2"
-	// crasherDeadline bounds one sending of a crasher.
+	service        = "tutor"
+	currentVersion = "easel-1"
+	newVersion     = "easel-2"
+	moveName       = "to-easel-2"
+	// crasherDeadline bounds one attempt of a crashing request.
 	crasherDeadline = 30 * time.Second
 )
 
-// Network is what a scenario needs of the network in memory.
+// Network is a network with fault injection.
 type Network interface {
 	fleet.Network
 	Silence(to string) int
@@ -42,199 +42,199 @@
 	Stall(to string, d time.Duration)
 }
 
-// Result is what a scenario left behind.
+// Result is what was observed in a scenario.
 type Result struct {
-	Report    *report.Report
-	Samples   []load.Sample
-	Breaches  []invariant.Breach
-	Crashes   int
-	Convicted int
-	Crashers  []string
-	Verdict   string
-	Why       string
-	NewRuns   int
-	AllRuns   int
-	Injected  map[Action]int
-	Twice     []string
-	// Untrue are requests refused as not run that ran.
-	Untrue []string
-	// BadTail are requests of the quiet tail without an answer in time.
-	BadTail []load.Sample
+	Report         *report.Report
+	Samples        []load.Sample
+	Breaches       []invariant.Breach
+	Crashes        int
+	Convicted      int
+	CrasherResults []string
+	Verdict        string
+	VerdictReason  string
+	NewVersionRuns int
+	TotalRuns      int
+	Injected       map[Action]int
+	RunTwice       []string
+	// FalselyNotRun are the requests that were refused as not run although they ran.
+	FalselyNotRun []string
+	// TailFailures are the requests sent from Expect.TailFrom on that were not
+	// answered in time.
+	TailFailures []load.Sample
 }
 
-// player plays one script.
-type player struct {
+// runner runs one script.
+type runner struct {
 	script  Script
 	network Network
 	site    *fleet.Fleet
 	rules   []byte
 
-	mu       sync.Mutex
-	injected map[Action]int
-	crashers []string
-	work     sync.WaitGroup
+	mu             sync.Mutex
+	injected       map[Action]int
+	crasherResults []string
+	tasks          sync.WaitGroup
 }
 
-// Play runs a script on the network and returns what was seen.
-func Play(script Script, network Network, logger *slog.Logger, invariants *invariant.Recorder) (*Result, error) {
-	shape, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, script.Seed)
+// Run runs a script on the network and returns what was observed.
+func Run(script Script, network Network, logger *slog.Logger, invariants *invariant.Recorder) (*Result, error) {
+	spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, script.Seed)
 	if err != nil {
 		return nil, err
 	}
-	shape = script.shrink(shape, network)
-	plan, tiers, err := fleet.PlanOf(shape, time.Duration(script.Duration))
+	spec = script.scaleDown(spec, network)
+	plan, tiers, err := fleet.PlanOf(spec, time.Duration(script.Duration))
 	if err != nil {
 		return nil, err
 	}
 	plan.Rate, plan.Burst, plan.PrefixBytes = script.Rate, script.Burst, 400
 	for i := range plan.Actions {
-		plan.Actions[i].MinTokens = (plan.Actions[i].MinTokens + shorter - 1) / shorter
-		plan.Actions[i].MaxTokens /= shorter
+		plan.Actions[i].MinTokens = (plan.Actions[i].MinTokens + scaleFactor - 1) / scaleFactor
+		plan.Actions[i].MaxTokens /= scaleFactor
 	}
-	site, err := fleet.New(shape, logger, invariants)
+	site, err := fleet.New(spec, logger, invariants)
 	if err != nil {
 		return nil, err
 	}
-	p := &player{script: script, network: network, site: site, rules: shape.Rules, injected: make(map[Action]int)}
-	if err := p.addNewVersion(shape); err != nil {
+	r := &runner{script: script, network: network, site: site, rules: spec.Rules, injected: make(map[Action]int)}
+	if err := r.addNewVersion(spec); err != nil {
 		return nil, err
 	}
-	p.setCrashMarks()
+	r.setCrashMarkers()
 	callers := load.New(plan, network, site.URLs)
-	p.work.Go(func() { p.playEvents() })
+	r.tasks.Go(func() { r.injectEvents() })
 	callers.Run(context.Background())
-	p.work.Wait()
+	r.tasks.Wait()
 	time.Sleep(time.Duration(script.Settle))
-	result := p.collect(callers, tiers, invariants)
+	result := r.collect(callers, tiers, invariants)
 	return result, site.Close()
 }
 
-// addNewVersion starts engines of the version that a move goes to.
-func (p *player) addNewVersion(shape fleet.Shape) error {
-	for i := range p.script.NewEngines {
-		fresh := shape.Engines[i%len(shape.Engines)]
-		fresh.Name = fmt.Sprintf("tutor-new-%02d", i)
-		fresh.Version = newVersion
-		if err := p.site.AddEngine(fresh); err != nil {
+// addNewVersion starts engines of the target version of a move.
+func (r *runner) addNewVersion(spec fleet.Spec) error {
+	for i := range r.script.NewEngines {
+		engineSpec := spec.Engines[i%len(spec.Engines)]
+		engineSpec.Name = fmt.Sprintf("tutor-new-%02d", i)
+		engineSpec.Version = newVersion
+		if err := r.site.AddEngine(engineSpec); err != nil {
 			return err
 		}
 	}
-	if p.script.NewEngines == 0 {
+	if r.script.NewEngines == 0 {
 		return nil
 	}
-	if err := p.site.Publish(); err != nil {
+	if err := r.site.Publish(); err != nil {
 		return err
 	}
-	return p.site.AwaitReady()
+	return r.site.AwaitReady()
 }
 
-func (p *player) setCrashMarks() {
-	for _, name := range p.site.Upstreams() {
-		if e := p.site.Engine(name); e != nil {
-			e.SetFaults(engine.Faults{CrashOn: crashMark})
+func (r *runner) setCrashMarkers() {
+	for _, name := range r.site.Upstreams() {
+		if e := r.site.Engine(name); e != nil {
+			e.SetFaults(engine.Faults{CrashOn: crashMarker})
 		}
 	}
 }
 
-func (p *player) playEvents() {
-	started := time.Now()
-	for _, event := range p.script.Events {
-		time.Sleep(time.Duration(event.At) - time.Since(started))
-		p.mu.Lock()
-		p.injected[event.Do]++
-		p.mu.Unlock()
-		p.play(event)
+func (r *runner) injectEvents() {
+	startedAt := time.Now()
+	for _, event := range r.script.Events {
+		time.Sleep(time.Duration(event.At) - time.Since(startedAt))
+		r.mu.Lock()
+		r.injected[event.Action]++
+		r.mu.Unlock()
+		r.inject(event)
 	}
 }
 
-func (p *player) play(event Event) {
-	switch event.Do {
+func (r *runner) inject(event Event) {
+	switch event.Action {
 	case KillAgent:
-		_ = p.site.KillAgent(event.Target)
+		_ = r.site.KillAgent(event.Target)
 	case RestartAgent:
-		p.work.Go(func() { _ = p.site.RestartAgent(event.Target) })
+		r.tasks.Go(func() { _ = r.site.RestartAgent(event.Target) })
 	case KillEntry:
-		p.withEntry(event.Entry, func(e *entry.Entry) { _ = p.site.KillEntry(e) })
+		r.withEntry(event.Entry, func(e *entry.Entry) { _ = r.site.KillEntry(e) })
 	case StopEntry:
-		p.withEntry(event.Entry, func(e *entry.Entry) { p.work.Go(func() { _ = p.site.StopEntry(e) }) })
+		r.withEntry(event.Entry, func(e *entry.Entry) { r.tasks.Go(func() { _ = r.site.StopEntry(e) }) })
 	case AddEntry:
-		if _, err := p.site.AddEntry(); err == nil {
-			_ = p.site.Publish()
+		if _, err := r.site.AddEntry(); err == nil {
+			_ = r.site.Publish()
 		}
 	case Silence:
-		p.network.Silence(p.site.Agent(event.Target).Addr())
+		r.network.Silence(r.site.Agent(event.Target).Addr())
 	case SilencePeers:
-		p.withEntry(event.Entry, func(e *entry.Entry) { p.network.Silence(e.PeerAddr()) })
+		r.withEntry(event.Entry, func(e *entry.Entry) { r.network.Silence(e.PeerAddr()) })
 	case LoseVM:
-		p.network.Vanish(p.site.Agent(event.Target).Addr())
+		r.network.Vanish(r.site.Agent(event.Target).Addr())
 	case Freeze:
-		p.network.Freeze(p.site.Agent(event.Target).Addr(), time.Duration(event.Within))
+		r.network.Freeze(r.site.Agent(event.Target).Addr(), time.Duration(event.Within))
 	case Stall:
-		p.network.Stall(p.site.Agent(event.Target).Addr(), time.Duration(event.Within))
+		r.network.Stall(r.site.Agent(event.Target).Addr(), time.Duration(event.Within))
 	case FreezePeers:
-		p.withEntry(event.Entry, func(e *entry.Entry) { p.network.Freeze(e.PeerAddr(), time.Duration(event.Within)) })
+		r.withEntry(event.Entry, func(e *entry.Entry) { r.network.Freeze(e.PeerAddr(), time.Duration(event.Within)) })
 	case CrashEngine:
-		p.site.Engine(event.Target).Die()
+		r.site.Engine(event.Target).Crash()
 	case EngineFaults:
-		p.setEngineFaults(event)
+		r.setEngineFaults(event)
 	case StoreFaults:
-		p.site.Store().SetFaults(event.Store)
+		r.site.Store().SetFaults(event.Store)
 	case SendCrasher:
-		p.work.Go(func() { p.sendCrashers(event) })
+		r.tasks.Go(func() { r.sendCrashers(event) })
 	case BeginMove:
-		p.beginMove(event)
+		r.beginMove(event)
 	case RollAll:
-		p.work.Go(p.rollAll)
+		r.tasks.Go(r.restartAll)
 	}
 }
 
-func (p *player) withEntry(index int, do func(*entry.Entry)) {
-	entries := p.site.Entries()
+func (r *runner) withEntry(index int, action func(*entry.Entry)) {
+	entries := r.site.Entries()
 	if len(entries) > 0 {
-		do(entries[index%len(entries)])
+		action(entries[index%len(entries)])
 	}
 }
 
-// setEngineFaults sets the faults of one engine, or of all whose name begins
-// with the target.
-func (p *player) setEngineFaults(event Event) {
+// setEngineFaults sets the faults of all engines whose name starts with the target.
+func (r *runner) setEngineFaults(event Event) {
 	faults := event.Engine
-	faults.CrashOn = crashMark
-	for _, name := range p.site.Upstreams() {
-		if e := p.site.Engine(name); e != nil && strings.HasPrefix(name, event.Target) {
+	faults.CrashOn = crashMarker
+	for _, name := range r.site.Upstreams() {
+		if e := r.site.Engine(name); e != nil && strings.HasPrefix(name, event.Target) {
 			e.SetFaults(faults)
 		}
 	}
 }
 
-// rollAll restarts every process in turn, as planned.
-func (p *player) rollAll() {
-	for _, name := range p.site.Upstreams() {
-		_ = p.site.RestartAgent(name)
+// restartAll drains and replaces every process, one after the other.
+func (r *runner) restartAll() {
+	for _, name := range r.site.Upstreams() {
+		_ = r.site.RestartAgent(name)
 	}
-	for _, e := range p.site.Entries() {
-		if _, err := p.site.AddEntry(); err != nil {
+	for _, e := range r.site.Entries() {
+		if _, err := r.site.AddEntry(); err != nil {
 			continue
 		}
-		_ = p.site.Publish()
-		_ = p.site.AwaitReady()
-		_ = p.site.StopEntry(e)
+		_ = r.site.Publish()
+		_ = r.site.AwaitReady()
+		_ = r.site.StopEntry(e)
 	}
 }
 
-// sendCrashers sends one request that kills what runs it, again and again, to
-// one entry after the other.
-func (p *player) sendCrashers(event Event) {
-	client := &http.Client{Transport: &http.Transport{DialContext: p.network.DialContext, DisableKeepAlives: true}}
-	body := []byte(`{"model":"tutor/quick-answer","stream":true,"messages":[{"role":"user","content":"[length=30] ` + crashMark + `"}]}`)
+// sendCrashers sends a request that crashes the engine that runs it, several times,
+// to one entry after the other.
+func (r *runner) sendCrashers(event Event) {
+	client := &http.Client{Transport: &http.Transport{DialContext: r.network.DialContext, DisableKeepAlives: true}}
+	body := []byte(`{"model":"tutor/quick-answer","stream":true,"messages":[{"role":"user","content":"[length=30] ` + crashMarker + `"}]}`)
 	for i := range max(event.Times, 1) {
-		urls := p.site.URLs()
+		urls := r.site.URLs()
 		ctx, cancel := context.WithTimeout(context.Background(), crasherDeadline)
-		kind := sendOnce(ctx, client, urls[(event.Entry+i)%len(urls)], body)
+		result := sendOnce(ctx, client, urls[(event.Entry+i)%len(urls)], body)
 		cancel()
-		p.mu.Lock()
-		p.crashers = append(p.crashers, kind)
-		p.mu.Unlock()
+		r.mu.Lock()
+		r.crasherResults = append(r.crasherResults, result)
+		r.mu.Unlock()
 	}
 }
 
@@ -266,78 +266,79 @@
 	return refusal.Error.Type
 }
 
-// beginMove adds a move to the rules.
-func (p *player) beginMove(event Event) {
+// beginMove adds a move to the new version to the rules.
+func (r *runner) beginMove(event Event) {
 	now := time.Now().UTC()
 	doc := make(map[string]any)
-	if err := json.Unmarshal(p.rules, &doc); err != nil {
+	if err := json.Unmarshal(r.rules, &doc); err != nil {
 		return
 	}
 	doc["moves"] = map[string]any{moveName: map[string]any{
-		"service": service, "from": oldVersion, "to": newVersion,
+		"service": service, "from": currentVersion, "to": newVersion,
 		"start": now.Format(time.RFC3339Nano), "by": now.Add(time.Duration(event.Within)).Format(time.RFC3339Nano),
 	}}
 	changed, err := json.Marshal(doc)
 	if err != nil {
 		return
 	}
-	_, _ = p.site.Apply(context.Background(), "operator", "move to the new version", examples.CairoInventory, changed)
+	_, _ = r.site.Apply(context.Background(), "operator", "move to the new version", examples.CairoInventory, changed)
 }
 
-func (p *player) collect(callers *load.Callers, tiers []string, invariants *invariant.Recorder) *Result {
+func (r *runner) collect(callers *load.Callers, tiers []string, invariants *invariant.Recorder) *Result {
 	samples := callers.Samples()
-	r := &Result{
-		Report: report.New(p.script.Seed, time.Duration(p.script.Duration), tiers, samples), Samples: samples,
-		Breaches: invariants.First(), Crashers: p.crashers, Injected: p.injected,
+	result := &Result{
+		Report: report.New(r.script.Seed, time.Duration(r.script.Duration), tiers, samples), Samples: samples,
+		Breaches: invariants.First(), CrasherResults: r.crasherResults, Injected: r.injected,
 	}
-	r.Report.DoubledActions = p.site.Effects().Doubled()
-	r.Report.InvariantBreaches = invariants.Total()
+	result.Report.DoubledActions = r.site.Effects().Doubled()
+	result.Report.InvariantBreaches = invariants.Total()
 	for _, s := range samples {
-		if s.Kind == "crashes-upstreams" {
-			r.Convicted++
+		if s.ErrorType == "crashes-upstreams" {
+			result.Convicted++
 		}
 	}
-	ran := p.site.Effects().Calls()
-	for _, name := range p.site.Upstreams() {
-		p.collectEngine(name, r, ran)
+	runCounts := r.site.Effects().Calls()
+	for _, name := range r.site.Upstreams() {
+		r.collectEngine(name, result, runCounts)
 	}
-	p.collectUntrue(r, ran)
-	if entries := p.site.Entries(); len(entries) > 0 {
+	r.collectFailures(result, runCounts)
+	if entries := r.site.Entries(); len(entries) > 0 {
 		for _, move := range entries[0].Status().Moves {
-			r.Verdict, r.Why = move.Verdict, move.Why
+			result.Verdict, result.VerdictReason = move.Verdict, move.Why
 		}
 	}
-	return r
+	return result
 }
 
-// collectUntrue compares what callers were told with what the upstreams saw.
-func (p *player) collectUntrue(r *Result, ran map[string]int) {
-	tail := time.Duration(p.script.Expect.TailFrom)
-	for _, s := range r.Samples {
-		if s.Ending == load.NotRun && ran[s.RequestID] > 0 {
-			r.Untrue = append(r.Untrue, s.RequestID)
+// collectFailures finds the requests whose refusal contradicts what the upstreams
+// ran, and those that failed after Expect.TailFrom.
+func (r *runner) collectFailures(result *Result, runCounts map[string]int) {
+	tailFrom := time.Duration(r.script.Expect.TailFrom)
+	for _, s := range result.Samples {
+		if s.Outcome == load.NotRun && runCounts[s.RequestID] > 0 {
+			result.FalselyNotRun = append(result.FalselyNotRun, s.RequestID)
 		}
-		if tail > 0 && s.At >= tail && s.Ending != load.InTime {
-			r.BadTail = append(r.BadTail, s)
+		if tailFrom > 0 && s.SentAfter >= tailFrom && s.Outcome != load.InTime {
+			result.TailFailures = append(result.TailFailures, s)
 		}
 	}
 }
 
-func (p *player) collectEngine(name string, r *Result, ran map[string]int) {
-	e := p.site.Engine(name)
+func (r *runner) collectEngine(name string, result *Result, runCounts map[string]int) {
+	e := r.site.Engine(name)
 	if e == nil {
 		return
 	}
-	r.Crashes += e.Crashes()
+	result.Crashes += e.Crashes()
 	runs := e.Runs()
-	r.AllRuns += len(runs)
+	result.TotalRuns += len(runs)
 	if strings.HasPrefix(name, "tutor-new") {
-		r.NewRuns += len(runs)
+		result.NewVersionRuns += len(runs)
 	}
-	for id, times := range runs {
-		ran[id] += times
-		if times > 1 {
-			r.Twice = append(r.Twice, id)
+	for id, count := range runs {
+		runCounts[id] += count
+		if count > 1 {
+			result.RunTwice = append(result.RunTwice, id)
 		}
 	}
 }
--- a/internal/trial/scenario/scenario_test.go
+++ b/internal/trial/scenario/scenario_test.go
@@ -12,7 +12,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/scenariotest"
 )
 
-// Each script opens with its story; see testdata.
+// Runs the scripts in testdata; each starts with a description of the failure.
 func TestScripts(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.json")
 	require.NoError(t, err)
--- a/internal/trial/scenario/script.go
+++ b/internal/trial/scenario/script.go
@@ -1,6 +1,6 @@
-// Package scenario plays scripted and random failures against a whole small
-// site and judges what callers saw. Scripts are data files; each opens with
-// its story.
+// Package scenario injects scripted failures into a small site under load and
+// checks what callers saw. Scripts are JSON files; each starts with a description
+// of the failure, under the key "story".
 package scenario
 
 import (
@@ -16,10 +16,10 @@
 
 var namespace = errorx.NewNamespace("scenario")
 
-// BadScript means that a script cannot be played.
+// BadScript is the type of errors for a script that cannot be run.
 var BadScript = namespace.NewType("bad-script")
 
-// Action is one kind of event.
+// Action is a kind of event.
 type Action string
 
 // The actions of a script.
@@ -43,63 +43,66 @@
 	RollAll      Action = "roll-all"
 )
 
-// Event is one thing that happens at a moment.
+// Event is one action at a time after the start of the load.
 type Event struct {
 	At     Duration `json:"at"`
-	Do     Action   `json:"do"`
+	Action Action   `json:"do"`
 	Target string   `json:"target,omitempty"`
 	// Entry is the index of the entry concerned.
 	Entry int `json:"entry,omitempty"`
-	// Times repeats a sending.
+	// Times is the number of attempts of SendCrasher.
 	Times  int           `json:"times,omitempty"`
 	Store  kv.Faults     `json:"store,omitempty"`
 	Engine engine.Faults `json:"engine,omitempty"`
-	// Within is a move's deadline after its start, or how long a freeze lasts.
+	// Within is the time from a move's start to its deadline, or the duration of a
+	// freeze or stall.
 	Within Duration `json:"within,omitempty"`
 }
 
-// Expect says how the run must end.
+// Expect describes the required result of a run.
 type Expect struct {
-	// Goodput is the least share in time, by tier.
+	// Goodput is the minimum share of requests answered in time, by tier.
 	Goodput map[string]float64 `json:"goodput,omitempty"`
-	// TailFrom is the moment from which every request must be answered in time.
+	// TailFrom is the time from which on every request sent must be answered in time.
 	TailFrom Duration `json:"tail-from,omitempty"`
-	// CutMost, MayHaveRunMost and UnreachedMost bound those endings.
-	CutMost        int `json:"cut-most"`
-	MayHaveRunMost int `json:"may-have-run-most"`
-	UnreachedMost  int `json:"unreached-most"`
-	// NotRunMost bounds refusals; a negative number allows any.
-	NotRunMost int `json:"not-run-most"`
-	// CrashesMost bounds the engines that a crasher took down.
-	CrashesMost int `json:"crashes-most"`
-	// ConvictedInnocent bounds refusals of innocent requests as crashers.
-	ConvictedInnocent int `json:"convicted-innocent"`
-	// Verdict is how a move must end, and BadRunsMost bounds the requests that
-	// the new version ran.
-	Verdict     string  `json:"verdict,omitempty"`
-	BadShareMax float64 `json:"bad-share-most,omitempty"`
+	// MaxCut, MaxMayHaveRun and MaxUnreached bound the requests with those outcomes.
+	MaxCut        int `json:"cut-most"`
+	MaxMayHaveRun int `json:"may-have-run-most"`
+	MaxUnreached  int `json:"unreached-most"`
+	// MaxNotRun bounds the requests refused as not run; a negative value allows any
+	// number.
+	MaxNotRun int `json:"not-run-most"`
+	// MaxCrashes bounds the engine crashes.
+	MaxCrashes int `json:"crashes-most"`
+	// MaxInnocentConvicted bounds the requests of the load, none of which crashes
+	// engines, that were refused as crashing upstreams.
+	MaxInnocentConvicted int `json:"convicted-innocent"`
+	// Verdict is the required verdict of a move, and MaxNewVersionShare bounds the
+	// share of runs on the new version; 0 for no bound.
+	Verdict            string  `json:"verdict,omitempty"`
+	MaxNewVersionShare float64 `json:"bad-share-most,omitempty"`
 }
 
-// Script is one whole scenario.
+// Script is one scenario.
 type Script struct {
-	Story    []string `json:"story"`
-	Seed     uint64   `json:"seed"`
-	Duration Duration `json:"duration"`
-	Rate     float64  `json:"rate"`
-	// Burst multiplies the rate in the middle fifth.
+	Description []string `json:"story"`
+	Seed        uint64   `json:"seed"`
+	Duration    Duration `json:"duration"`
+	Rate        float64  `json:"rate"`
+	// Burst multiplies the rate in the middle fifth of the duration.
 	Burst    float64 `json:"burst,omitempty"`
 	Engines  int     `json:"engines"`
 	Bookings int     `json:"bookings"`
 	Entries  int     `json:"entries"`
-	// NewEngines run the version that a move goes to.
+	// NewEngines is the number of engines of a move's target version.
 	NewEngines int `json:"new-engines,omitempty"`
-	// Settle is how long the site is left alone after the load.
+	// Settle is the time without load before the result is collected.
 	Settle Duration `json:"settle,omitempty"`
 	Events []Event  `json:"events"`
 	Expect Expect   `json:"expect"`
 }
 
-// Duration is a time.Duration that is written as text.
+// Duration is a time.Duration that is encoded as text, such as "500ms".
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -113,31 +116,31 @@
 	return err
 }
 
-// Parse reads a script.
+// Parse parses and validates a script.
 func Parse(raw []byte) (Script, error) {
 	var s Script
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Script{}, BadScript.Wrap(err, "correct the field named")
+		return Script{}, BadScript.Wrap(err, "invalid script")
 	}
-	if len(s.Story) < 2 || s.Duration <= 0 || s.Rate <= 0 || s.Engines <= 0 || s.Entries <= 0 {
-		return Script{}, BadScript.New("a script needs a story of two lines or more, duration, rate, engines and entries")
+	if len(s.Description) < 2 || s.Duration <= 0 || s.Rate <= 0 || s.Engines <= 0 || s.Entries <= 0 {
+		return Script{}, BadScript.New("script needs a story of at least two lines, and duration, rate, engines and entries above zero")
 	}
 	return s, nil
 }
 
-// shorter makes answers so many times shorter and engines as much slower: the
-// same load with fewer events.
-const shorter = 4
+// scaleFactor divides answer lengths and multiplies token gaps: the load on the
+// engines stays the same with fewer events to simulate.
+const scaleFactor = 4
 
-// shrink cuts an example site down to the script's size.
-func (s Script) shrink(shape fleet.Shape, network fleet.Network) fleet.Shape {
-	shape.Network = network
-	shape.Entries = s.Entries
-	shape.Engines = shape.Engines[:min(s.Engines, len(shape.Engines))]
-	shape.Bookings = shape.Bookings[:min(s.Bookings, len(shape.Bookings))]
-	for i := range shape.Engines {
-		shape.Engines[i].Settings.TokenGap = time.Duration(3+i%4) * shorter * time.Millisecond
-		shape.Engines[i].TokenGap = 15 * shorter * time.Millisecond
+// scaleDown reduces the example site to the sizes of the script.
+func (s Script) scaleDown(spec fleet.Spec, network fleet.Network) fleet.Spec {
+	spec.Network = network
+	spec.Entries = s.Entries
+	spec.Engines = spec.Engines[:min(s.Engines, len(spec.Engines))]
+	spec.Bookings = spec.Bookings[:min(s.Bookings, len(spec.Bookings))]
+	for i := range spec.Engines {
+		spec.Engines[i].Settings.TokenGap = time.Duration(3+i%4) * scaleFactor * time.Millisecond
+		spec.Engines[i].TokenGap = 15 * scaleFactor * time.Millisecond
 	}
-	return shape
+	return spec
 }
--- a/internal/trial/scenariotest/scenariotest.go
+++ b/internal/trial/scenariotest/scenariotest.go
@@ -1,4 +1,4 @@
-// Package scenariotest plays scenarios in tests, in fake time.
+// Package scenariotest runs scenarios in tests, in fake time.
 package scenariotest
 
 import (
@@ -16,10 +16,12 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/scenario"
 )
 
-// logVariable names the file that keeps the log of a run, if it is set.
+// logVariable is the environment variable with the path of a file to which the log
+// of a run is written; without it the log is discarded.
 const logVariable = "SCENARIO_LOG"
 
-// Run plays a script in a bubble of fake time and requires what it expects.
+// Run runs a script in fake time and fails the test if the result does not meet the
+// script's expectations.
 func Run(t *testing.T, script scenario.Script) *scenario.Result {
 	t.Helper()
 	var result *scenario.Result
@@ -27,11 +29,11 @@
 		logger := slog.New(slog.NewTextHandler(logWriter(t), nil))
 		invariants := invariant.New(logger)
 		var err error
-		result, err = scenario.Play(script, network.New(), logger, invariants)
+		result, err = scenario.Run(script, network.New(), logger, invariants)
 		require.NoError(t, err)
 	})
-	t.Logf("%d requests, injected %v, endings %+v, crashers %v, refusals %v, verdict %s (%s)", len(result.Samples), result.Injected, result.Report.Tiers, result.Crashers, result.Report.RefusalKinds, result.Verdict, result.Why)
-	require.Empty(t, scenario.Judge(script, result), strings.Join(script.Story, "\n"))
+	t.Logf("%d requests, injected %v, outcomes %+v, crashers %v, refusals %v, verdict %s (%s)", len(result.Samples), result.Injected, result.Report.Tiers, result.CrasherResults, result.Report.RefusalKinds, result.Verdict, result.VerdictReason)
+	require.Empty(t, scenario.Check(script, result), strings.Join(script.Description, "\n"))
 	return result
 }
 
