--- a/internal/role/entry/attempt.go
+++ b/internal/role/entry/attempt.go
@@ -19,51 +19,53 @@
 )
 
 var (
-	errCallerGone = errors.New("the caller is gone")
-	errGap        = errors.New("a piece of the answer is missing")
-	errRetry      = errors.New("the upstream failed before its answer began")
+	errCallerGone = errors.New("caller disconnected")
+	errGap        = errors.New("response from the agent has a gap")
+	errRetry      = errors.New("upstream failed before the response started")
 )
 
 const (
-	// silentAfter is how long a request's stream may be without a message
-	// before its link is taken to be dead: three heartbeats and a half.
-	silentAfter = 1750 * time.Millisecond
-	// firstWordAfter is how long the agent may take to say that it has the
-	// offer, which it does at once.
-	firstWordAfter = 500 * time.Millisecond
-	// unheardAfter is how long an agent may have said nothing before its link is
-	// tried ahead of an offer: two heartbeats.
-	unheardAfter = time.Second
-	// lostAfter is how long an agent may stay out of reach, over new links
-	// too, before its request is given up as lost.
-	lostAfter = 6 * time.Second
-	// resumePause is between two attempts to reach an agent again.
-	resumePause = 100 * time.Millisecond
-	// ackEvery is the number of bytes after which they are acknowledged.
-	ackEvery = 16 << 10
-	// overtime is how long past its deadline a running request is awaited.
-	overtime = 30 * time.Second
+	// silenceTimeout is how long a request's stream may be without a message
+	// before its link is considered dead: 3.5 heartbeat intervals.
+	silenceTimeout = 1750 * time.Millisecond
+	// firstMessageTimeout is how long the agent may take to acknowledge an
+	// offer, which it does on receipt.
+	firstMessageTimeout = 500 * time.Millisecond
+	// pingAfter is how long an agent may have been silent before its link is
+	// pinged ahead of an offer: two heartbeat intervals.
+	pingAfter = time.Second
+	// lostTimeout is how long an agent may be unreachable, also over new links,
+	// before its request is considered lost.
+	lostTimeout = 6 * time.Second
+	// resumeInterval is the time between attempts to reach an agent again.
+	resumeInterval = 100 * time.Millisecond
+	// ackBytes is the number of received bytes after which they are
+	// acknowledged.
+	ackBytes = 16 << 10
+	// overdueGrace is how long a running request is awaited past its deadline.
+	overdueGrace = 30 * time.Second
 )
 
 // ending is how one attempt at one upstream ended.
 type ending int
 
 const (
-	// answered: the whole answer was handed to the caller.
+	// answered: the caller got the complete response.
 	answered ending = iota + 1
-	// notRun: it is proven that the request was not dispatched.
+	// notRun: the request was provably not dispatched.
 	notRun
-	// failedEarly: the run is known to be over, and no byte was handed on.
+	// failedEarly: the run has ended, and the caller got no byte of a response.
 	failedEarly
-	// lost: it may have run, and nothing more can be learned.
+	// lost: the request may have run, and its outcome cannot be determined.
 	lost
-	// broken: it ran, and its answer broke off after the first byte.
+	// broken: the request ran, and its response ended early, after the first
+	// byte.
 	broken
-	// callerGone: nobody waits for the answer any more.
+	// callerGone: the caller has disconnected.
 	callerGone
 )
 
-// result is an ending with what the agent said of it.
+// result is an ending with the details that the agent reported.
 type result struct {
 	ending  ending
 	reason  wire.Decline_Reason
@@ -71,8 +73,8 @@
 	detail  string
 }
 
-// attempt is one request's conversation with one agent, over as many links as
-// it takes.
+// attempt is one request's exchange with one agent, which may continue over
+// several links.
 type attempt struct {
 	entry       *Entry
 	q           *request.Request
@@ -84,13 +86,13 @@
 	dispatched  func()
 	mayRetry    bool
 	headSeen    bool
-	// resumed tells that the run may have been begun by an earlier process of
-	// the agent than the one that answers.
+	// resumed means that the run may have been started by an earlier process of
+	// the agent than the one that responds.
 	resumed bool
 	acked   uint64
 }
 
-// offer makes the offer and follows it to its end.
+// offer sends the offer and follows it to its end.
 func (a *attempt) offer(ctx context.Context, c choice) result {
 	e := a.entry
 	if !e.contact(ctx, a.upstream) || !e.confirm(ctx, a.upstream) {
@@ -110,17 +112,17 @@
 	a.current.Store(stream)
 	defer a.closeStream()
 	a.upstream.Sent(now, c.work, a.q.PrefixKey())
-	offer := &wire.Envelope{Body: &wire.Envelope_Offer{Offer: a.build(now, clock, c)}}
+	offer := &wire.Envelope{Body: &wire.Envelope_Offer{Offer: a.buildOffer(now, clock, c)}}
 	if err := stream.Send(now.Add(sendTimeout), offer); err != nil {
 		return a.follow(ctx, false)
 	}
 	return a.follow(ctx, true)
 }
 
-// build writes the offer. It is void past a moment on the agent's own clock:
-// an entry that was paused between its decision and its sending, or a link
-// that delivers late, cannot cause a dispatch that nobody waits for.
-func (a *attempt) build(now time.Time, clock uint64, c choice) *wire.Offer {
+// buildOffer returns the offer. It expires at a time on the agent's own clock,
+// so that an entry that was paused between decision and sending, or a link that
+// delivers late, cannot cause a dispatch after the caller has given up.
+func (a *attempt) buildOffer(now time.Time, clock uint64, c choice) *wire.Offer {
 	q := a.q
 	left := max(q.Deadline().Sub(now), 0)
 	horizon := min(max(left-c.work, 0), agent.StartHorizon)
@@ -140,10 +142,10 @@
 	return offer
 }
 
-// attach follows a run that another entry's offer began.
+// attach follows a run that was started by another entry's offer.
 func (a *attempt) attach(ctx context.Context) result {
 	if !a.entry.contact(ctx, a.upstream) {
-		return result{ending: lost, detail: "the agent cannot be reached"}
+		return result{ending: lost, detail: "agent unreachable"}
 	}
 	defer a.closeStream()
 	return a.follow(ctx, false)
@@ -155,8 +157,8 @@
 	}
 }
 
-// follow reads the conversation to its end. When the link falls silent or
-// breaks, it resumes at its offset on a new one; it never offers again.
+// follow reads the exchange to its end. If the link is silent or fails, it
+// resumes at the current offset on a new link; it never repeats the offer.
 func (a *attempt) follow(ctx context.Context, connected bool) result {
 	stop := a.watchCaller(ctx)
 	defer stop()
@@ -166,12 +168,12 @@
 				return r
 			}
 		}
-		r, over := a.converse(ctx)
+		r, over := a.receive(ctx)
 		if over {
 			return r
 		}
-		// Until the agent speaks again no other request is sent there: a VM that
-		// vanished would swallow each of them as it swallowed this one.
+		// Until the agent responds again, no other request is sent there: on a
+		// lost VM each of them would be lost like this one.
 		a.upstream.Failed(a.entry.now())
 		a.entry.pool.Replace(a.upstream.Address(), a.current.Load().Session())
 		a.closeStream()
@@ -180,7 +182,7 @@
 	}
 }
 
-// watchCaller withdraws the request when its caller goes away.
+// watchCaller withdraws the request when its caller disconnects.
 func (a *attempt) watchCaller(ctx context.Context) func() {
 	stop := context.AfterFunc(ctx, func() {
 		a.withdraw(a.q.RepeatSafe())
@@ -197,12 +199,12 @@
 	_ = stream.Send(a.entry.now().Add(time.Second), message)
 }
 
-// resume asks for the rest of the answer on a new link, until the agent has
-// been out of reach for lostAfter.
+// resume requests the rest of the response on a new link, until the agent has
+// been unreachable for lostTimeout.
 func (a *attempt) resume(ctx context.Context) (result, bool) {
 	e := a.entry
 	a.resumed = true
-	giveUp := e.now().Add(lostAfter)
+	giveUp := e.now().Add(lostTimeout)
 	for e.now().Before(giveUp) {
 		stream, err := e.pool.Open(ctx, a.upstream.Address())
 		if err == nil {
@@ -218,12 +220,12 @@
 			return result{ending: callerGone}, false
 		}
 		a.upstream.Failed(e.now())
-		wait.For(ctx, resumePause)
+		wait.For(ctx, resumeInterval)
 	}
-	return result{ending: a.lostOrBroken(), detail: "the agent beside the upstream cannot be reached"}, false
+	return result{ending: a.lostOrBroken(), detail: "agent of the upstream unreachable"}, false
 }
 
-func (a *attempt) overOrBroken() ending {
+func (a *attempt) failedOrBroken() ending {
 	if a.out.started {
 		return broken
 	}
@@ -237,11 +239,11 @@
 	return lost
 }
 
-// converse reads messages until the end (true) or until the link is of no
-// more use (false).
-func (a *attempt) converse(ctx context.Context) (result, bool) {
+// receive handles messages until the exchange ends (true) or the link fails
+// (false).
+func (a *attempt) receive(ctx context.Context) (result, bool) {
 	e := a.entry
-	allowed := firstWordAfter
+	allowed := firstMessageTimeout
 	for {
 		envelope, err := a.current.Load().Receive(e.now().Add(allowed))
 		if ctx.Err() != nil && err != nil {
@@ -254,13 +256,13 @@
 			}
 			return result{}, false
 		}
-		allowed = silentAfter
+		allowed = silenceTimeout
 		a.upstream.Heard(e.now())
 		if a.overdue(e.now()) {
 			a.withdraw(a.q.RepeatSafe())
-			return result{ending: a.lostOrBroken(), detail: "not finished long after its deadline"}, true
+			return result{ending: a.lostOrBroken(), detail: "still running long after its deadline"}, true
 		}
-		r, over, err := a.take(envelope)
+		r, over, err := a.handle(envelope)
 		switch {
 		case errors.Is(err, errCallerGone):
 			a.withdraw(a.q.RepeatSafe())
@@ -276,10 +278,10 @@
 	}
 }
 
-func (a *attempt) overdue(now time.Time) bool { return now.After(a.q.Deadline().Add(overtime)) }
+func (a *attempt) overdue(now time.Time) bool { return now.After(a.q.Deadline().Add(overdueGrace)) }
 
-// take handles one message.
-func (a *attempt) take(envelope *wire.Envelope) (result, bool, error) {
+// handle processes one message.
+func (a *attempt) handle(envelope *wire.Envelope) (result, bool, error) {
 	now := a.entry.now()
 	switch body := envelope.GetBody().(type) {
 	case *wire.Envelope_Head:
@@ -295,17 +297,17 @@
 		}
 		a.acknowledge()
 	case *wire.Envelope_Decline:
-		a.report(now, body.Decline.GetLoad())
+		a.recordLoad(now, body.Decline.GetLoad())
 		return a.declined(body.Decline), true, nil
 	case *wire.Envelope_End:
-		a.report(now, body.End.GetLoad())
+		a.recordLoad(now, body.End.GetLoad())
 		return a.ended(body.End), true, nil
 	}
 	return result{}, false, nil
 }
 
-// report takes a load report that came with an outcome.
-func (a *attempt) report(now time.Time, load *wire.Load) {
+// recordLoad applies a load recordLoad that was sent with an outcome.
+func (a *attempt) recordLoad(now time.Time, load *wire.Load) {
 	if load == nil {
 		return
 	}
@@ -314,23 +316,24 @@
 }
 
 func (a *attempt) acknowledge() {
-	if a.out.offset-a.acked < ackEvery {
+	if a.out.offset-a.acked < ackBytes {
 		return
 	}
 	a.acked = a.out.offset
 	ack := &wire.Envelope{Body: &wire.Envelope_Ack{Ack: &wire.Ack{Offset: a.acked}}}
-	// A failure to send shows as silence on the next read.
+	// A failed send is noticed as silence by the next read.
 	_ = a.current.Load().Send(a.entry.now().Add(sendTimeout), ack)
 }
 
-// declined is proof that the request was not dispatched, with one exception:
-// an agent that was restarted since cannot know what the one before it did.
+// declined returns the result of a decline. It proves that the request was not
+// dispatched, unless the agent was restarted since: the new process does not
+// know what the previous one did.
 func (a *attempt) declined(d *wire.Decline) result {
 	restarted := d.GetReason() == wire.Decline_REASON_INCARNATION && a.resumed
 	if restarted || a.headSeen {
-		// The earlier process's connection to its upstream ended with it, and
-		// the run with the connection: it is over, whatever it did.
-		return result{ending: a.overOrBroken(), outcome: wire.End_OUTCOME_FAILED, detail: "the agent beside the upstream was restarted"}
+		// The previous process's connection to its upstream ended with it, and
+		// with the connection the run, whatever it had done.
+		return result{ending: a.failedOrBroken(), outcome: wire.End_OUTCOME_FAILED, detail: "agent of the upstream restarted"}
 	}
 	return result{ending: notRun, reason: d.GetReason()}
 }
@@ -348,8 +351,8 @@
 		r.ending = failedEarly
 	}
 	if end.GetOutcome() == wire.End_OUTCOME_UPSTREAM_LOST {
-		a.entry.learnCrash(end.GetCrash())
-		a.entry.logger.Warn("upstream died under a request", "request", a.runID, "upstream", a.upstream.Name())
+		a.entry.recordCrash(end.GetCrash())
+		a.entry.logger.Warn("upstream died during a request", "request", a.runID, "upstream", a.upstream.Name())
 	}
 	return r
 }
--- a/internal/role/entry/choose.go
+++ b/internal/role/entry/choose.go
@@ -14,40 +14,42 @@
 )
 
 const (
-	// firstSet is the number of candidates that are weighed at first, and
-	// wideSet that which a request may be offered to before it is refused. In
-	// a group of at most wideSet all are weighed.
-	firstSet = 8
-	wideSet  = 24
-	// prefillRate is the assumed prompt tokens a second at speed 1.
+	// initialCandidates is the number of candidates that are scored at first,
+	// and maxCandidates the number that a request may be offered to before it is
+	// refused. In a group of at most maxCandidates all are scored.
+	initialCandidates = 8
+	maxCandidates     = 24
+	// prefillRate is the assumed number of prompt tokens per second at speed 1.
 	prefillRate = 2000
-	// decodeGap is the time of one token at speed 1.
-	decodeGap = 30 * time.Millisecond
-	// workQuantile is the quantile of the learned lengths taken as expected.
+	// tokenInterval is the assumed time per output token at speed 1.
+	tokenInterval = 30 * time.Millisecond
+	// workQuantile is the quantile of the observed lengths that is used as the
+	// expected length.
 	workQuantile = 0.5
 )
 
-// choice is one upstream to ask, with the work that the request means there.
+// choice is an upstream to offer the request to, with the expected work there.
 type choice struct {
 	upstream *member.Upstream
-	// incarnation is the agent's process that the choice was made for, 0 when
+	// incarnation is the agent process that the choice was made for, 0 if
 	// unknown.
 	incarnation uint64
-	// rank is the index's cost; the least is asked first.
+	// rank is the cost by the index; the lowest is tried first.
 	rank float64
 	work time.Duration
-	// wait is the predicted wait there, patience how much of it is borne.
+	// wait is the predicted queueing time there, and patience the queueing time
+	// after which the request is handed back, 0 for no limit.
 	wait     time.Duration
 	patience time.Duration
 }
 
-// plan returns whom to ask, in the index's order, out of the first set or of
-// the wide one.
-// Upstreams of the version that the request's share belongs to come first;
-// those of the other version follow, if it may be used at all.
+// plan returns the upstreams to try, ordered by the index, out of the initial
+// candidates or, if wide is set, out of up to maxCandidates. Upstreams of the
+// preferred version come first, followed by those of the other version if the
+// request may use it.
 func (e *Entry) plan(now time.Time, q *request.Request, doc document.Document, wide bool) []choice {
 	var plan []choice
-	for _, version := range e.moves.versions(q, doc) {
+	for _, version := range e.rollouts.versions(q, doc) {
 		plan = append(plan, e.rank(now, q, e.table.Group(q.Service().Name(), version), wide)...)
 	}
 	return plan
@@ -59,9 +61,9 @@
 	}
 	var buffer [candidate.Most]int
 	key := candidate.Key(q.Workspace(), q.PrefixKey())
-	size := firstSet
-	if wide || group.Len() <= wideSet {
-		size = wideSet
+	size := initialCandidates
+	if wide || group.Len() <= maxCandidates {
+		size = maxCandidates
 	}
 	chosen := candidate.Choose(buffer[:0], group.Members(), key, size)
 	var views [candidate.Most]index.View
@@ -72,15 +74,15 @@
 	choices := make([]choice, 0, len(chosen))
 	for i, at := range chosen {
 		if u := group.At(at); u.Available(now) {
-			choices = append(choices, e.weigh(q, u, views[i]))
+			choices = append(choices, e.score(q, u, views[i]))
 		}
 	}
 	sort.SliceStable(choices, func(i, j int) bool { return choices[i].rank < choices[j].rank })
 	return choices
 }
 
-// assumeSpeeds takes an upstream without a measured speed to be as fast as the
-// best of the others: one that was never tried would otherwise never be.
+// assumeSpeeds gives upstreams without a measured speed the speed of the
+// fastest other one; otherwise an untried upstream would never be chosen.
 func assumeSpeeds(views []index.View) {
 	best := 0.0
 	for _, v := range views {
@@ -96,13 +98,13 @@
 	}
 }
 
-func (e *Entry) weigh(q *request.Request, u *member.Upstream, view index.View) choice {
+func (e *Entry) score(q *request.Request, u *member.Upstream, view index.View) choice {
 	job := index.Job{Cost: 1}
 	if q.Service().Kind() == inventory.Model {
 		tokens := e.forecast.Quantile(route(q), workQuantile)
-		job.Decode = time.Duration(tokens) * decodeGap
+		job.Decode = time.Duration(tokens) * tokenInterval
 		job.Prefill = time.Duration(q.PromptTokens()) * time.Second / prefillRate
-		view.Cached = cached(q, u)
+		view.Cached = cachedShare(q, u)
 	} else {
 		job.Decode = e.plainWork(q)
 	}
@@ -110,16 +112,17 @@
 	return choice{upstream: u, incarnation: u.Incarnation(), rank: index.Weighted(view, job), wait: view.Wait(), work: time.Duration(alone * float64(time.Second))}
 }
 
-// cached is the share of the prompt's prefill that the upstream's cache saves.
-func cached(q *request.Request, u *member.Upstream) float64 {
+// cachedShare returns the share of the prompt's prefill that the upstream's
+// cache saves.
+func cachedShare(q *request.Request, u *member.Upstream) float64 {
 	if !u.Holds(q.PrefixKey()) {
 		return 0
 	}
 	return float64(q.PrefixTokens()) / float64(q.PromptTokens())
 }
 
-// plainWork is the expected time of a plain service's call, learned in
-// milliseconds where a model's answer is learned in tokens.
+// plainWork returns the expected duration of a plain service's call. The
+// forecast holds milliseconds for plain services and tokens for models.
 func (e *Entry) plainWork(q *request.Request) time.Duration {
 	return time.Duration(e.forecast.Quantile(route(q), workQuantile)) * time.Millisecond
 }
--- a/internal/role/entry/claims.go
+++ b/internal/role/entry/claims.go
@@ -15,27 +15,29 @@
 )
 
 const (
-	// ownerPrefix is where the owners of partitions stand in the store.
-	ownerPrefix = "persimmonridge/claim-owner/"
-	// askTimeout bounds one question to an owner.
-	askTimeout = 3 * time.Second
-	// askAgain is the least pause before a question whose owner is changing;
-	// it is jittered, so that not every entry takes an orphan over at once.
-	askAgain = 50 * time.Millisecond
+	// ownerKeyPrefix precedes the keys that name the owners of partitions in the
+	// platform's store.
+	ownerKeyPrefix = "persimmonridge/claim-owner/"
+	// ownerTimeout bounds one request to an owner.
+	ownerTimeout = 3 * time.Second
+	// ownerRetryDelay is the minimum delay before a request is repeated while
+	// its owner changes. It is jittered so that not all entries take over a
+	// partition without an owner at the same time.
+	ownerRetryDelay = 50 * time.Millisecond
 )
 
-// ownerJSON is the value of an owner's key. It is advice on whom to ask; who
-// owns a partition is decided by its tail alone.
+// ownerJSON is the value of an owner's key. It is only a hint where to send
+// requests; the partition's tail alone determines its owner.
 type ownerJSON struct {
 	Node    string `json:"node"`
 	Address string `json:"address"`
 }
 
-// claims is this entry's part in keyed actions: the partitions it owns, and
-// the way to those of others. A partition without an owner is taken by the
-// entry that first needs it, and one whose owner cannot be reached as well.
-// No lease is needed for that: whoever opens a partition swaps its tail, and
-// an owner before it, paused or cut off, can write no more.
+// claims holds the partitions that this entry owns and routes requests for
+// others to their owners. A partition that has no owner, or whose owner is
+// unreachable, is taken over by the first entry that needs it. This needs no
+// lease: opening a partition swaps its tail, after which a previous owner,
+// whether paused or disconnected, can no longer write.
 type claims struct {
 	entry *Entry
 
@@ -50,9 +52,9 @@
 	return &claims{entry: e, owned: make(map[int]*claim.Partition), owners: make(map[int]ownerJSON), opening: make(map[int]chan struct{})}
 }
 
-func ownerKey(partition int) string { return fmt.Sprintf("%s%04d", ownerPrefix, partition) }
+func ownerKey(partition int) string { return fmt.Sprintf("%s%04d", ownerKeyPrefix, partition) }
 
-// readOwner learns who says to own the partition.
+// readOwner reads and caches the announced owner of the partition.
 func (c *claims) readOwner(ctx context.Context, partition int) (ownerJSON, store.Entry, error) {
 	entry, err := c.entry.store.Get(ctx, store.Watches, ownerKey(partition))
 	if err != nil || !entry.Exists() {
@@ -68,10 +70,10 @@
 	return owner, entry, nil
 }
 
-// take opens a partition, once for all who ask for it here.
-func (c *claims) take(ctx context.Context, partition int) {
+// acquire opens a partition. Concurrent callers share one attempt.
+func (c *claims) acquire(ctx context.Context, partition int) {
 	c.mu.Lock()
-	if c.leaving || c.mine(partition) != nil {
+	if c.leaving || c.ownedPartition(partition) != nil {
 		c.mu.Unlock()
 		return
 	}
@@ -97,19 +99,20 @@
 	e := c.entry
 	p, err := claim.Open(ctx, partition, e.store, e.logger, e.now)
 	if err != nil {
-		e.logger.Warn("claims not taken over", "partition", partition, "error", err.Error())
+		e.logger.Warn("partition of claims could not be taken over", "partition", partition, "error", err.Error())
 		return
 	}
-	if !c.keep(partition, p) {
+	if !c.addOwned(partition, p) {
 		_ = p.Close()
 		return
 	}
 	c.announce(ctx, partition, ownerJSON{Node: e.settings.Node(), Address: e.peers.Addr()})
 }
 
-// keep holds an opened partition unless this process began to stop meanwhile:
-// its caller's request may outlive the stop, and nobody would close it.
-func (c *claims) keep(partition int, p *claim.Partition) bool {
+// addOwned registers an opened partition unless this process has begun to stop
+// in the meantime: the request that opened it may outlast the stop, and the
+// partition would never be closed.
+func (c *claims) addOwned(partition int, p *claim.Partition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leaving {
@@ -119,7 +122,8 @@
 	return true
 }
 
-// announce writes the owner's key; if that fails, askers find out later.
+// announce writes the owner's key. After a failure, other entries find the
+// owner by their own requests.
 func (c *claims) announce(ctx context.Context, partition int, owner ownerJSON) {
 	value, err := json.Marshal(owner)
 	if err != nil {
@@ -131,9 +135,9 @@
 	}
 }
 
-// mine returns the partition if this process owns it; the caller holds the
-// lock.
-func (c *claims) mine(partition int) *claim.Partition {
+// ownedPartition returns the partition if this process owns it, otherwise nil.
+// The caller holds the lock.
+func (c *claims) ownedPartition(partition int) *claim.Partition {
 	p := c.owned[partition]
 	if p == nil {
 		return nil
@@ -147,37 +151,38 @@
 	}
 }
 
-// serve answers an ask as the partition's owner.
+// serve answers a request as the partition's owner.
 func (c *claims) serve(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
 	c.mu.Lock()
-	p := c.mine(int(ask.GetPartition()))
+	p := c.ownedPartition(int(ask.GetPartition()))
 	c.mu.Unlock()
 	if p == nil {
 		return &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	return p.Ask(ctx, ask)
 }
 
-// ask puts a question to the key's owner, wherever it is, until the context
-// ends. An UNAVAILABLE reply grants nothing.
-func (c *claims) ask(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
+// request sends a request to the owner of the key's partition, here or on
+// another entry, and retries until the context ends. An UNAVAILABLE reply
+// grants nothing.
+func (c *claims) request(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
 	partition := claim.PartitionOf(ask.GetKey(), c.entry.settings.ClaimPartitions())
 	ask.Partition = uint32(partition)
 	for ctx.Err() == nil {
-		reply := c.askOnce(ctx, partition, ask)
+		reply := c.requestOnce(ctx, partition, ask)
 		if reply.GetState() != wire.ClaimReply_STATE_NOT_OWNER {
 			return reply
 		}
-		wait.For(ctx, askAgain+rand.N(askAgain))
+		wait.For(ctx, ownerRetryDelay+rand.N(ownerRetryDelay))
 		c.findOwner(ctx, partition)
 	}
-	return &wire.ClaimReply{State: wire.ClaimReply_STATE_UNAVAILABLE, Detail: "the claims of this key have no owner for the moment"}
+	return &wire.ClaimReply{State: wire.ClaimReply_STATE_UNAVAILABLE, Detail: "no owner of the claims for this key is reachable"}
 }
 
-// findOwner reads the owner anew; when it is still the one that did not
-// answer, or there is none, this process takes the partition over.
+// findOwner reads the owner again. If it is still the one that did not answer,
+// or there is none, this process takes over the partition.
 func (c *claims) findOwner(ctx context.Context, partition int) {
 	c.mu.Lock()
 	before := c.owners[partition]
@@ -187,13 +192,13 @@
 		return
 	}
 	if owner == before || owner.Address == "" || owner.Node == c.entry.settings.Node() {
-		c.take(ctx, partition)
+		c.acquire(ctx, partition)
 	}
 }
 
-func (c *claims) askOnce(ctx context.Context, partition int, ask *wire.ClaimAsk) *wire.ClaimReply {
+func (c *claims) requestOnce(ctx context.Context, partition int, ask *wire.ClaimAsk) *wire.ClaimReply {
 	c.mu.Lock()
-	owner, mine := c.owners[partition], c.mine(partition) != nil
+	owner, mine := c.owners[partition], c.ownedPartition(partition) != nil
 	c.mu.Unlock()
 	if mine {
 		return c.serve(ctx, ask)
@@ -201,12 +206,12 @@
 	if owner.Address == "" || owner.Node == c.entry.settings.Node() {
 		return &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	}
-	return c.askPeer(ctx, owner.Address, ask)
+	return c.requestFromPeer(ctx, owner.Address, ask)
 }
 
-// askPeer asks another entry. One that cannot be reached or says nothing is
-// taken not to be the owner.
-func (c *claims) askPeer(ctx context.Context, address string, ask *wire.ClaimAsk) *wire.ClaimReply {
+// requestFromPeer sends the request to another entry, which counts as not the
+// owner if it is unreachable or does not answer.
+func (c *claims) requestFromPeer(ctx context.Context, address string, ask *wire.ClaimAsk) *wire.ClaimReply {
 	notOwner := &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	e := c.entry
 	stream, err := e.pool.Open(ctx, address)
@@ -214,7 +219,7 @@
 		return notOwner
 	}
 	defer func() { _ = stream.Close() }()
-	deadline := e.now().Add(askTimeout + time.Second)
+	deadline := e.now().Add(ownerTimeout + time.Second)
 	err = stream.Send(deadline, &wire.Envelope{Body: &wire.Envelope_ClaimAsk{ClaimAsk: ask}})
 	if err == nil {
 		var envelope *wire.Envelope
@@ -226,10 +231,11 @@
 	return notOwner
 }
 
-// handOver gives all partitions up, so that others take them at once.
-func (c *claims) handOver() {
-	owned := c.leave()
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+// releaseAll releases all partitions, so that other entries can take them over
+// without waiting.
+func (c *claims) releaseAll() {
+	owned := c.stopOwning()
+	ctx, cancel := context.WithTimeout(context.Background(), ownerTimeout)
 	defer cancel()
 	for partition, p := range owned {
 		_ = p.Close()
@@ -238,13 +244,14 @@
 }
 
 func (c *claims) close() {
-	for _, p := range c.leave() {
+	for _, p := range c.stopOwning() {
 		_ = p.Close()
 	}
 }
 
-// leave takes no partition from now on and returns those that were owned.
-func (c *claims) leave() map[int]*claim.Partition {
+// stopOwning prevents further takeovers and returns the partitions that were
+// owned.
+func (c *claims) stopOwning() map[int]*claim.Partition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leaving = true
--- a/internal/role/entry/claims_test.go
+++ b/internal/role/entry/claims_test.go
@@ -6,14 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An entry that was stopped went on holding claims, and their next owner had
-// to find out by itself.
-// A caller's request opens a partition while the process stops: the stop has
-// already closed what it found, so what is opened later must not be kept.
+// Guards against a stopped entry that still owns a partition, which its next
+// owner then has to discover: a request opens the partition after the stop has
+// closed all owned ones, so it must not be registered.
 func TestStoppedEntryKeepsNoPartition(t *testing.T) {
 	c := newClaims(&Entry{})
-	require.True(t, c.keep(0, nil))
+	require.True(t, c.addOwned(0, nil))
 	c.owned = nil
 	c.close()
-	require.False(t, c.keep(1, nil))
+	require.False(t, c.addOwned(1, nil))
 }
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the process that faces callers. It owns their connections,
-// which upstream is asked, the delivery of the answer and the wording of a
-// refusal. All entries are alike; whatever must outlive one is written down
-// elsewhere.
+// Package entry implements the process that accepts callers' requests. It
+// holds their connections, selects upstreams, delivers responses and reports
+// refusals. Entries are interchangeable: state that must survive one is kept in
+// the platform's store or by the agents.
 package entry
 
 import (
@@ -30,23 +30,23 @@
 )
 
 const (
-	// leaseTerm is how long a silent holder keeps its duties; the published
-	// shape of the service allows no less.
-	leaseTerm = 10 * time.Second
-	// dialTimeout bounds a connection to a peer or to the platform.
+	// leaseTTL is the TTL of leases; 10 s is the minimum that the platform's
+	// store accepts.
+	leaseTTL = 10 * time.Second
+	// dialTimeout bounds the dialing of a peer or of the platform.
 	dialTimeout = time.Second
-	// retryRate and retryBurst refill the budget of second runs beside what
-	// first attempts earn.
+	// retryRate, in tokens per second, and retryBurst refill the retry budget
+	// in addition to what first attempts earn.
 	retryRate  = 0.5
 	retryBurst = 10
-	// headerTimeout bounds the reading of a caller's header.
+	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 10 * time.Second
-	// drainGrace is how long callers may still arrive after readiness is
-	// withdrawn, because the platform's balancer takes a moment to notice.
+	// drainGrace is how long requests are still accepted after readiness is
+	// withdrawn, as the platform's load balancer notices it with a delay.
 	drainGrace = 2 * time.Second
 )
 
-// Entry is one running entry.
+// Entry is a running entry process.
 type Entry struct {
 	settings   settings.Entry
 	logger     *slog.Logger
@@ -69,27 +69,27 @@
 	forecast *forecast.Forecast
 	retries  *budget.Bucket
 	claims   *claims
-	moves    *moves
+	rollouts *rollouts
 	metrics  *metrics
 
-	http     *http.Server
-	listener net.Listener
-	leaving  atomic.Bool
-	ctx      context.Context
-	cancel   context.CancelFunc
-	wg       sync.WaitGroup
+	http       *http.Server
+	listener   net.Listener
+	leaving    atomic.Bool
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// Option changes an entry for tests and trials.
+// Option configures an entry for tests and simulations.
 type Option func(*Entry)
 
-// WithInvariants uses the recorder.
+// WithInvariants sets the recorder of invariant violations.
 func WithInvariants(r *invariant.Recorder) Option { return func(e *Entry) { e.invariants = r } }
 
-// WithDialer uses the dialer for links and towards the platform.
+// WithDialer sets the dialer for links and for the platform.
 func WithDialer(d link.Dialer) Option { return func(e *Entry) { e.dialer = d } }
 
-// WithGrace changes how long a stop waits for the balancer.
+// WithGrace sets how long Drain waits for the load balancer.
 func WithGrace(d time.Duration) Option { return func(e *Entry) { e.grace = d } }
 
 // New starts an entry that serves callers and peers on the two listeners.
@@ -122,19 +122,19 @@
 	e.log = changelog.New(e.invariants)
 	e.peer = control.NewPeer(e.log, e.suspects, e.changed, e.now, control.Describe(e.describe))
 	e.metrics = newMetrics(e)
-	e.holder = lease.New(e.store, e.settings.Node(), leaseTerm, e.logger, e.now)
+	e.holder = lease.New(e.store, e.settings.Node(), leaseTTL, e.logger, e.now)
 	e.claims = newClaims(e)
-	e.moves = newMoves(e)
+	e.rollouts = newRollouts(e)
 	e.follower = changelog.Follow(e.log, e.store, e.logger)
-	e.poller = vmlist.Poll(e.settings.VMListURL(), e.dialer, e.logger, e.replaceList)
+	e.poller = vmlist.Poll(e.settings.VMListURL(), e.dialer, e.logger, e.replaceVMs)
 	e.peers = link.Serve(peers, e.servePeer)
 	e.http = &http.Server{Handler: e.handler(), ReadHeaderTimeout: headerTimeout, ErrorLog: slog.NewLogLogger(e.logger.Handler(), slog.LevelDebug)}
-	e.wg.Go(func() {
+	e.goroutines.Go(func() {
 		if err := e.http.Serve(e.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
-			e.logger.Error("caller interface ended", "error", err.Error())
+			e.logger.Error("HTTP server for callers failed", "error", err.Error())
 		}
 	})
-	e.wg.Go(func() { e.moves.run(e.ctx) })
+	e.goroutines.Go(func() { e.rollouts.run(e.ctx) })
 	e.logger.Info("entry started", "node", e.settings.Node(), "callers", e.listener.Addr().String(), "peers", e.peers.Addr())
 }
 
@@ -147,7 +147,7 @@
 // PeerAddr returns the address that other entries link to.
 func (e *Entry) PeerAddr() string { return e.peers.Addr() }
 
-// Ready tells whether callers may be sent here.
+// Ready reports whether the load balancer may send requests to this entry.
 func (e *Entry) Ready() bool { return !e.leaving.Load() && e.log.Revision() > 0 }
 
 // Upstreams returns how many upstreams have reported to this entry.
@@ -161,13 +161,13 @@
 	return count
 }
 
-// Drain is a planned stop: readiness is withdrawn, callers that still arrive
-// are served while the balancer notices, and every request under way is
-// finished. It returns when none is left or the context ends.
+// Drain stops the entry gracefully: it withdraws readiness, serves requests
+// that arrive until the load balancer has noticed, and completes all requests
+// in flight. It returns when none is left or the context ends.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.leaving.Store(true)
-	e.logger.Info("entry leaving", "node", e.settings.Node())
-	e.claims.handOver()
+	e.logger.Info("entry draining", "node", e.settings.Node())
+	e.claims.releaseAll()
 	select {
 	case <-ctx.Done():
 	case <-time.After(e.grace):
@@ -175,15 +175,16 @@
 	return e.http.Shutdown(ctx)
 }
 
-// Close stops at once and waits; see Drain for a stop that cuts nothing.
+// Close stops the entry immediately, aborting requests in flight, and waits for
+// its goroutines. Drain stops without aborting requests.
 func (e *Entry) Close() error {
 	err := e.stop()
 	_ = e.holder.Close()
 	return err
 }
 
-// Kill stops as a process that dies: leases are left to lapse. It is for
-// tests and trials.
+// Kill stops the entry as a crash would: leases are not released but expire.
+// It is for tests and simulations.
 func (e *Entry) Kill() error {
 	e.holder.Abandon()
 	return e.stop()
@@ -195,12 +196,12 @@
 	_ = e.poller.Close()
 	_ = e.follower.Close()
 	_ = e.pool.Close()
-	e.wg.Wait()
+	e.goroutines.Wait()
 	e.claims.close()
 	_ = e.peers.Close()
 	_ = e.store.Close()
 	return err
 }
 
-// newID returns an id that no other request of the fleet has.
+// newID returns a request id that is unique in the fleet.
 func newID() string { return rand.Text() }
--- a/internal/role/entry/keyed.go
+++ b/internal/role/entry/keyed.go
@@ -10,65 +10,67 @@
 )
 
 const (
-	// claimWithin is how long a caller waits for a claim before its action is
+	// claimTimeout is how long a request waits for a claim before its action is
 	// refused as not run.
-	claimWithin = 5 * time.Second
-	// recordWithin is how long the outcome of an action is offered to its
-	// claim's owner; the caller has its answer by then.
-	recordWithin = time.Minute
-	// attachPause is between two looks at an action that another entry runs.
-	attachPause = 150 * time.Millisecond
-	// unreachableRounds is how often a run that cannot be reached is looked
-	// for before the caller is told that it may have run.
-	unreachableRounds = 2
-	// claimRetry is the Retry-After while claims cannot be written.
-	claimRetry = 3 * time.Second
+	claimTimeout = 5 * time.Second
+	// recordTimeout bounds the attempts to store the outcome of an action with
+	// its claim, which run after the caller got its response.
+	recordTimeout = time.Minute
+	// attachRetryInterval is the time between attempts to follow an action that
+	// another request runs.
+	attachRetryInterval = 150 * time.Millisecond
+	// maxUnreachable is how often a run may be unreachable before one more
+	// failure makes the caller be told that it may have run.
+	maxUnreachable = 2
+	// claimRetryAfter is the Retry-After while claims cannot be written, and the
+	// time between attempts to store an outcome.
+	claimRetryAfter = 3 * time.Second
 )
 
-// runKeyed serves an action that must not run twice: it is claimed before it
-// is dispatched, and a resend attaches to the run or replays its answer.
+// runKeyed serves an action that must not run twice: its key is claimed before
+// the dispatch, and a resend attaches to the run or replays its response.
 func (c *call) runKeyed(ctx context.Context) *refusal.Refusal {
 	c.out.recorder = &recorder{}
 	k := &keyed{call: c}
 	for {
-		if refused, over := k.round(ctx); over {
+		if refused, over := k.tryClaim(ctx); over {
 			return refused
 		}
-		if k.unreachable > unreachableRounds || c.entry.now().After(c.q.Deadline()) || ctx.Err() != nil {
-			return unfinished()
+		if k.unreachable > maxUnreachable || c.entry.now().After(c.q.Deadline()) || ctx.Err() != nil {
+			return unfinishedRefusal()
 		}
-		wait.For(ctx, attachPause)
+		wait.For(ctx, attachRetryInterval)
 	}
 }
 
-// keyed is the way of one keyed request through its claim.
+// keyed is the state of one keyed request while it obtains its claim.
 type keyed struct {
 	call *call
-	// replaces is an earlier try's claim whose request was proven not to have
-	// run where the claim stood.
+	// replaces is the claim of an earlier attempt whose request provably did not
+	// run on the claimed upstream.
 	replaces *wire.ClaimAsk_Replaced
-	// held tells that another try with the key was found; from then on "not
-	// run" is not ours to say.
+	// held means that another attempt with the key was found, after which this
+	// request must not report "not run".
 	held        bool
 	unreachable int
 }
 
-// round asks for the claim once and acts on the reply; over tells that the
+// tryClaim requests the claim once and acts on the reply. If over is set, the
 // request has its outcome.
-func (k *keyed) round(ctx context.Context) (refused *refusal.Refusal, over bool) {
+func (k *keyed) tryClaim(ctx context.Context) (refused *refusal.Refusal, over bool) {
 	c := k.call
-	next, ok := c.reachable(ctx)
+	target, ok := c.reachable(ctx)
 	if !ok {
 		c.entry.logger.Info("no upstream to claim for", "node", c.entry.settings.Node(), "request", c.q.ID())
-		return k.without(c.refusalOf(result{ending: notRun})), true
+		return k.refusalWithoutDispatch(c.refusalOf(result{ending: notRun})), true
 	}
-	next.incarnation = next.upstream.Incarnation()
-	reply := c.claim(ctx, next, k.replaces)
+	target.incarnation = target.upstream.Incarnation()
+	reply := c.claim(ctx, target, k.replaces)
 	c.entry.logger.Info("claim answered", "request", c.q.ID(), "key", c.q.ClaimKey(), "state", reply.GetState().String(),
 		"holder", reply.GetRequestId(), "replaces", k.replaces.GetRequestId())
 	switch reply.GetState() {
 	case wire.ClaimReply_STATE_GRANTED:
-		return c.runClaimed(ctx, next)
+		return c.runClaimed(ctx, target)
 	case wire.ClaimReply_STATE_FINISHED:
 		return c.replay(reply.GetAnswer()), true
 	case wire.ClaimReply_STATE_MISMATCH:
@@ -77,12 +79,12 @@
 		k.held = true
 		return k.attach(ctx, reply)
 	}
-	message := "this try did not run: its claim cannot be written (" + reply.GetDetail() + "); whether an earlier try did is not known"
-	return k.without(refusal.New(refusal.StoreDown, refusal.NotRun, message, "send it again with the same key").RetryAfter(claimRetry)), true
+	message := "this attempt did not run: its claim could not be stored (" + reply.GetDetail() + "); an earlier attempt may have run"
+	return k.refusalWithoutDispatch(refusal.New(refusal.StoreDown, refusal.NotRun, message, "send it again with the same key").RetryAfter(claimRetryAfter)), true
 }
 
-// reachable returns the best upstream whose agent answers, so that the claim does
-// not name one that is gone.
+// reachable returns the best upstream whose agent responds, so that the claim
+// does not name one that no longer exists.
 func (c *call) reachable(ctx context.Context) (choice, bool) {
 	s := newSearch(c)
 	for {
@@ -93,23 +95,24 @@
 		if c.entry.contact(ctx, next.upstream) && c.entry.confirm(ctx, next.upstream) {
 			return next, true
 		}
-		s.note(c.entry.now(), next, wire.Decline_REASON_UNREACHABLE)
+		s.recordDecline(c.entry.now(), next, wire.Decline_REASON_UNREACHABLE)
 	}
 }
 
-// without words the refusal of a request that was not dispatched itself.
-func (k *keyed) without(refused *refusal.Refusal) *refusal.Refusal {
+// refusalWithoutDispatch returns the refusal of a request that was not
+// dispatched itself: the given one, unless an earlier attempt may have run.
+func (k *keyed) refusalWithoutDispatch(refused *refusal.Refusal) *refusal.Refusal {
 	if k.held {
-		return unfinished()
+		return unfinishedRefusal()
 	}
 	return refused
 }
 
-func unfinished() *refusal.Refusal {
-	return refusal.New(refusal.Unfinished, refusal.MayHaveRun, "an earlier try with this key may have run; its outcome is not known", "look whether it took effect, or ask again with the same key").RetryAfter(claimRetry)
+func unfinishedRefusal() *refusal.Refusal {
+	return refusal.New(refusal.Unfinished, refusal.MayHaveRun, "an earlier attempt with this key may have run; its outcome is unknown", "check whether it took effect, or send it again with the same key").RetryAfter(claimRetryAfter)
 }
 
-// attach follows the run of another try to its end.
+// attach follows the run of another attempt to its end.
 func (k *keyed) attach(ctx context.Context, reply *wire.ClaimReply) (*refusal.Refusal, bool) {
 	r := k.call.attach(ctx, reply)
 	switch {
@@ -124,14 +127,14 @@
 }
 
 func (c *call) claim(ctx context.Context, next choice, replaces *wire.ClaimAsk_Replaced) *wire.ClaimReply {
-	ctx, cancel := context.WithTimeout(ctx, claimWithin)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	ask := c.ask(wire.ClaimAsk_STEP_CLAIM, next)
+	ask := c.claimRequest(wire.ClaimAsk_STEP_CLAIM, next)
 	ask.Replaces = replaces
-	return c.entry.claims.ask(ctx, ask)
+	return c.entry.claims.request(ctx, ask)
 }
 
-func (c *call) ask(step wire.ClaimAsk_Step, next choice) *wire.ClaimAsk {
+func (c *call) claimRequest(step wire.ClaimAsk_Step, next choice) *wire.ClaimAsk {
 	ask := &wire.ClaimAsk{Step: step, Key: c.q.ClaimKey(), Fingerprint: c.q.Fingerprint(), RequestId: c.q.ID()}
 	if next.upstream != nil {
 		ask.Upstream, ask.Incarnation = next.upstream.Name(), next.incarnation
@@ -141,11 +144,11 @@
 
 // runClaimed dispatches an action whose claim this request holds. Before each
 // further offer the claim is moved to the next upstream, so that a resend
-// looks in the right place; when another try has taken the claim over, the
-// offer is not made and the request starts again from the claim.
+// attaches to the right one. If another attempt has taken over the claim, no
+// offer is made and the request starts again with a new claim.
 func (c *call) runClaimed(ctx context.Context, claimed choice) (refused *refusal.Refusal, over bool) {
-	// The run goes on when its caller goes away: the outcome belongs to the
-	// action, and the caller may ask for it again.
+	// The run continues when its caller disconnects: the outcome belongs to the
+	// action, and the caller may request it again.
 	detached := context.WithoutCancel(ctx)
 	displaced := false
 	r := c.dispatch(detached, func(next choice) bool {
@@ -153,9 +156,9 @@
 			return true
 		}
 		claimed = next
-		moveCtx, cancel := context.WithTimeout(detached, claimWithin)
+		moveCtx, cancel := context.WithTimeout(detached, claimTimeout)
 		defer cancel()
-		reply := c.entry.claims.ask(moveCtx, c.ask(wire.ClaimAsk_STEP_DISPATCH, next))
+		reply := c.entry.claims.request(moveCtx, c.claimRequest(wire.ClaimAsk_STEP_DISPATCH, next))
 		displaced = reply.GetState() == wire.ClaimReply_STATE_HELD
 		return reply.GetState() == wire.ClaimReply_STATE_GRANTED
 	})
@@ -166,29 +169,29 @@
 	return c.refusalOf(r), true
 }
 
-// record writes the outcome down with the claim, in the background.
+// record stores the outcome with the claim, in the background.
 func (c *call) record(r result) {
-	ask := c.ask(wire.ClaimAsk_STEP_FINISH, choice{})
+	ask := c.claimRequest(wire.ClaimAsk_STEP_FINISH, choice{})
 	switch r.ending {
 	case notRun:
 		ask.Step = wire.ClaimAsk_STEP_RELEASE
 	case answered:
 		ask.Answer = c.out.stored(wire.End_OUTCOME_ANSWERED)
 	case broken, callerGone:
-		// The agent still has the answer, whole; a resend attaches to it.
+		// The agent still has the complete response; a resend attaches to it.
 		return
 	default:
 		ask.Answer = c.out.stored(wire.End_OUTCOME_FAILED)
 	}
 	e := c.entry
-	e.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(e.ctx, recordWithin)
+	e.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(e.ctx, recordTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
-			if e.claims.ask(ctx, ask).GetState() != wire.ClaimReply_STATE_UNAVAILABLE {
+			if e.claims.request(ctx, ask).GetState() != wire.ClaimReply_STATE_UNAVAILABLE {
 				return
 			}
-			wait.For(ctx, claimRetry)
+			wait.For(ctx, claimRetryAfter)
 		}
 	})
 }
@@ -197,7 +200,7 @@
 func (c *call) attach(ctx context.Context, reply *wire.ClaimReply) result {
 	u, ok := c.entry.table.Upstream(reply.GetUpstream())
 	if !ok {
-		return result{ending: lost, detail: "the upstream that ran it is gone"}
+		return result{ending: lost, detail: "the upstream that ran the request no longer exists"}
 	}
 	a := &attempt{
 		entry: c.entry, q: c.q, out: c.out, upstream: u, runID: reply.GetRequestId(),
@@ -210,11 +213,11 @@
 	return r
 }
 
-// replay answers with what was kept of a finished action.
+// replay responds with the stored response of a finished action.
 func (c *call) replay(answer *wire.StoredAnswer) *refusal.Refusal {
 	c.outcome.Dispatched()
 	if answer.GetOutcome() != wire.End_OUTCOME_ANSWERED || !answer.GetWhole() {
-		return refusal.New(refusal.Unfinished, refusal.MayHaveRun, "an earlier try with this key ran, and its answer is not kept", "look whether it took effect")
+		return refusal.New(refusal.Unfinished, refusal.MayHaveRun, "an earlier attempt with this key ran, and its response is not stored", "check whether it took effect")
 	}
 	c.out.setHead(&wire.Head{Status: answer.GetStatus(), Headers: answer.GetHeaders()})
 	c.out.recorder = nil
--- a/internal/role/entry/output.go
+++ b/internal/role/entry/output.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// recordMost is the largest answer that is kept with a claim.
-	recordMost = 32 << 10
-	// callerTimeout is how long a caller may take to accept one piece.
-	callerTimeout = 30 * time.Second
+	// maxRecordedBody is the largest response body that is stored with a claim,
+	// in bytes.
+	maxRecordedBody = 32 << 10
+	// writeTimeout is how long a caller may take to accept one chunk.
+	writeTimeout = 30 * time.Second
 )
 
-// output is the way of one answer to its caller. It checks that bytes come in
-// order and without a gap, whatever links they came over.
+// output writes one response to its caller. It checks that bytes arrive in
+// order and without gaps, also when the response continues on another link.
 type output struct {
 	requestID  string
 	writer     http.ResponseWriter
@@ -34,7 +35,8 @@
 	recorder *recorder
 }
 
-// recorder keeps a small answer whole, for a claim.
+// recorder buffers a response body to be stored with a claim, up to
+// maxRecordedBody.
 type recorder struct {
 	body     []byte
 	overflow bool
@@ -44,23 +46,23 @@
 	return &output{requestID: id, writer: w, control: http.NewResponseController(w), invariants: invariants, now: now}
 }
 
-// setHead remembers the head; it is written with the first byte, so that until
-// then the request can still go elsewhere.
+// setHead keeps the response head until the first byte is written, up to which
+// the request can still be sent to another upstream.
 func (o *output) setHead(head *wire.Head) { o.head = head }
 
-// reset forgets a head of which nothing was written.
+// reset discards a head that was not written yet.
 func (o *output) reset() {
 	if !o.started {
 		o.head, o.offset = nil, 0
 	}
 }
 
-// write hands one piece to the caller.
+// write sends one chunk to the caller.
 func (o *output) write(data *wire.Data) error {
 	if data.GetOffset()+uint64(len(data.GetBytes())) <= o.offset {
 		return nil
 	}
-	if !o.invariants.Check(data.GetOffset() == o.offset, invariant.AnswerContiguous, o.requestID, "a piece does not follow the last one") {
+	if !o.invariants.Check(data.GetOffset() == o.offset, invariant.AnswerContiguous, o.requestID, "chunk does not start at the end of the previous one") {
 		return errGap
 	}
 	o.begin()
@@ -78,10 +80,10 @@
 	return nil
 }
 
-// tokens returns the answer's length: its events, or what its bytes make when
-// it was not streamed.
+// tokens returns the response's length in tokens: its number of events, or an
+// estimate from its bytes if it was not streamed.
 func (o *output) tokens() int {
-	// bytesPerToken is the usual length of a token of text.
+	// bytesPerToken is the typical length of a token of text.
 	const bytesPerToken = 4
 	if o.events > 0 {
 		return o.events
@@ -89,10 +91,10 @@
 	return int(o.offset / bytesPerToken)
 }
 
-// begin writes the head, once. It is called before each piece and before the
-// answer's end, and gives the caller its time for what follows.
+// begin writes the head, once. It is called before each chunk and before the
+// end of the response, and extends the write deadline each time.
 func (o *output) begin() {
-	_ = o.control.SetWriteDeadline(o.now().Add(callerTimeout))
+	_ = o.control.SetWriteDeadline(o.now().Add(writeTimeout))
 	if o.started {
 		return
 	}
@@ -112,7 +114,7 @@
 }
 
 func (r *recorder) add(p []byte) {
-	if len(r.body)+len(p) > recordMost {
+	if len(r.body)+len(p) > maxRecordedBody {
 		r.overflow = true
 		r.body = nil
 	}
@@ -121,7 +123,7 @@
 	}
 }
 
-// stored returns the answer as it is kept with a claim.
+// stored returns the response in the form that is stored with a claim.
 func (o *output) stored(outcome wire.End_Outcome) *wire.StoredAnswer {
 	answer := &wire.StoredAnswer{Outcome: outcome, Status: o.head.GetStatus(), Headers: o.head.GetHeaders()}
 	if o.recorder != nil && !o.recorder.overflow && outcome == wire.End_OUTCOME_ANSWERED {
--- a/internal/role/entry/output_test.go
+++ b/internal/role/entry/output_test.go
@@ -15,8 +15,8 @@
 	"github.com/persimmonridge/persimmonridge/internal/standin/network"
 )
 
-// Guards against a whole answer whose end is lost: the time that its caller had
-// to accept the last piece was over before the upstream ended it.
+// Guards against a complete response whose end is lost because the write
+// deadline of its last chunk passed before the upstream ended the response.
 func TestAnswerThatEndsLongAfterItsLastPieceIsWhole(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		n := network.New()
@@ -25,7 +25,7 @@
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			o := newOutput("id", w, invariant.New(slog.New(slog.DiscardHandler)), time.Now)
 			_ = o.write(&wire.Data{Bytes: []byte("whole")})
-			bubble.Pass(callerTimeout + time.Second)
+			bubble.Pass(writeTimeout + time.Second)
 			o.begin()
 		})}
 		go func() { _ = server.Serve(listener) }()
--- a/internal/role/entry/peers.go
+++ b/internal/role/entry/peers.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// contactMost is the number of upstreams up to which all are linked at
-	// once; beyond it a link is opened when an upstream is first chosen.
-	contactMost = 64
-	// contactTimeout bounds the wait for a first word from an agent.
+	// maxEagerLinks is the number of upstreams up to which links to all are
+	// opened in advance; beyond it a link is opened when an upstream is first
+	// chosen.
+	maxEagerLinks = 64
+	// contactTimeout bounds the wait for the first message of an agent.
 	contactTimeout = time.Second
-	// reconnectPause is between two attempts to reach an agent that went away.
-	reconnectPause = 250 * time.Millisecond
-	// peerMessage bounds the wait for a peer's first message.
-	peerMessage = 10 * time.Second
+	// reconnectInterval is the time between attempts to reach a lost agent.
+	reconnectInterval = 250 * time.Millisecond
+	// peerMessageTimeout bounds the wait for a peer's first message.
+	peerMessageTimeout = 10 * time.Second
 	// sendTimeout bounds the writing of one message.
 	sendTimeout = 5 * time.Second
 )
 
-// replaceList takes a new list of VMs.
-func (e *Entry) replaceList(vms []vmlist.VM) {
+// replaceVMs applies a new list of VMs.
+func (e *Entry) replaceVMs(vms []vmlist.VM) {
 	for _, gone := range e.table.Replace(vms) {
 		e.pool.Drop(gone.Address())
-		e.moves.forget(gone)
+		e.rollouts.forget(gone)
 	}
 	all := e.table.All()
-	e.logger.Debug("vm list in use", "upstreams", len(all), "entries", len(e.table.Entries()))
-	if len(all) > contactMost {
+	e.logger.Debug("VM list applied", "upstreams", len(all), "entries", len(e.table.Entries()))
+	if len(all) > maxEagerLinks {
 		return
 	}
 	for _, u := range all {
 		if !u.Leaving() {
-			e.wg.Go(func() { e.reconnect(u) })
+			e.goroutines.Go(func() { e.reconnect(u) })
 		}
 	}
 }
 
-// contact makes sure that the agent has said something of itself: its
-// incarnation and its clock, without which no offer can be made.
+// contact connects to the agent and waits until its incarnation and clock are
+// known, without which no offer can be made.
 func (e *Entry) contact(ctx context.Context, u *member.Upstream) bool {
 	ctx, cancel := context.WithTimeout(ctx, contactTimeout)
 	defer cancel()
@@ -62,14 +63,14 @@
 	}
 }
 
-// confirm makes sure that a link on which nothing came for a while still leads
-// to its agent. An offer that a lost VM swallows may have run, as far as anyone
-// knows, and can go nowhere else; a ping that it swallows can.
+// confirm pings the agent if it was silent for pingAfter. An offer that is sent
+// to a lost VM may have run and cannot be offered elsewhere; after an
+// unanswered ping the request still can.
 func (e *Entry) confirm(ctx context.Context, u *member.Upstream) bool {
-	if u.HeardWithin(e.now(), unheardAfter) {
+	if u.HeardWithin(e.now(), pingAfter) {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, firstWordAfter)
+	ctx, cancel := context.WithTimeout(ctx, firstMessageTimeout)
 	defer cancel()
 	if err := e.pool.Ping(ctx, u.Address()); err != nil {
 		e.logger.Warn("link silent", "node", e.settings.Node(), "upstream", u.Name(), "error", err.Error())
@@ -80,14 +81,14 @@
 	return true
 }
 
-// describe says whether this entry steps the moves and wants their evidence.
+// describe requests evidence from agents while this entry advances rollouts.
 func (e *Entry) describe(now time.Time, n *wire.Notice, _ bool) {
-	if e.holder.Held(now, dutyKey) {
-		n.EvidenceEveryMs = uint32(e.moves.pace().Milliseconds())
+	if e.holder.Held(now, leaseKey) {
+		n.EvidenceEveryMs = uint32(e.rollouts.evidenceInterval().Milliseconds())
 	}
 }
 
-// sessionOpened starts the control conversation of a new session.
+// sessionOpened starts the control stream of a new session.
 func (e *Entry) sessionOpened(address string, s *link.Session) {
 	stream, err := s.Open()
 	if err != nil {
@@ -98,66 +99,66 @@
 		_ = stream.Close()
 		return
 	}
-	e.wg.Go(func() {
-		e.peer.Run(e.ctx, address, stream, func(now time.Time, n *wire.Notice) { e.learn(now, address, n) })
-		e.conversationEnded(address, s)
+	e.goroutines.Go(func() {
+		e.peer.Run(e.ctx, address, stream, func(now time.Time, n *wire.Notice) { e.handleNotice(now, address, n) })
+		e.controlEnded(address, s)
 	})
 }
 
-// conversationEnded notes that an agent went away, and looks for the process
-// that takes its place while the platform's list still names it.
-func (e *Entry) conversationEnded(address string, s *link.Session) {
+// controlEnded marks an agent as lost and reconnects to the process that
+// replaces it, as long as the platform's list contains the VM.
+func (e *Entry) controlEnded(address string, s *link.Session) {
 	e.pool.Replace(address, s.Number())
-	// A session that fell silent is closed long after another took its place.
-	// Its end says nothing of the agent, which speaks on the new one and, with
-	// nothing to tell, would not speak again: forgotten now, it would be taken
-	// to be unreachable for good.
+	// A silent session is closed long after another one has replaced it. Its end
+	// does not mean that the agent is lost: the agent uses the new session and,
+	// with nothing new to report, would not send its state again. If it were
+	// marked as lost here, it would be considered unreachable forever.
 	if e.pool.Holds(address) {
 		return
 	}
 	if u, ok := e.table.AtAddress(address); ok {
 		u.Lost()
-		e.wg.Go(func() { e.reconnect(u) })
+		e.goroutines.Go(func() { e.reconnect(u) })
 	}
 }
 
-// reconnect tries again until the agent speaks or is no longer listed. With
-// many upstreams the next offer does that instead.
+// reconnect retries until the agent responds or is no longer listed. With more
+// than maxEagerLinks upstreams the next offer reconnects instead.
 func (e *Entry) reconnect(u *member.Upstream) {
 	for e.ctx.Err() == nil && !u.Connected() {
 		listed, ok := e.table.Upstream(u.Name())
-		if !ok || listed != u || u.Listed() == vmlist.Leaving || len(e.table.All()) > contactMost {
+		if !ok || listed != u || u.Listed() == vmlist.Leaving || len(e.table.All()) > maxEagerLinks {
 			return
 		}
 		e.contact(e.ctx, u)
-		wait.For(e.ctx, reconnectPause)
+		wait.For(e.ctx, reconnectInterval)
 	}
 }
 
-// learn takes a notice of the agent at the address.
-func (e *Entry) learn(now time.Time, address string, n *wire.Notice) {
+// handleNotice applies a notice of the agent at the address.
+func (e *Entry) handleNotice(now time.Time, address string, n *wire.Notice) {
 	if n.GetLoad() == nil {
 		return
 	}
 	if u, ok := e.table.AtAddress(address); ok {
 		u.Report(now, n.GetLoad())
-		e.moves.learn(u, n)
+		e.rollouts.recordReport(u, n)
 	}
 }
 
-// learnCrash takes what an agent told of its upstream's death with an answer's
-// end, and passes it on.
-func (e *Entry) learnCrash(crash *wire.Crash) {
+// recordCrash records a crash of an upstream that its agent reported at the end
+// of a response, and notifies peers of it.
+func (e *Entry) recordCrash(crash *wire.Crash) {
 	now := e.now()
 	if crash != nil && e.suspects.Learn(now, suspect.NewCrash(crash.GetId(), now, crash.GetFingerprints())) {
 		e.changed.Raise()
 	}
 }
 
-// servePeer serves one stream of another entry.
+// servePeer serves one stream that another entry opened.
 func (e *Entry) servePeer(ctx context.Context, stream *link.Stream) {
 	defer func() { _ = stream.Close() }()
-	envelope, err := stream.Receive(e.now().Add(peerMessage))
+	envelope, err := stream.Receive(e.now().Add(peerMessageTimeout))
 	if err != nil {
 		return
 	}
--- a/internal/role/entry/search.go
+++ b/internal/role/entry/search.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	// movesMost is how often a waiting request may be handed back to be placed
-	// anew, before it waits to its end where it is.
-	movesMost = 3
-	// patienceFactor and patienceSlack make the wait that a request bears out
-	// of the wait that was predicted.
+	// maxHandbacks is how often a waiting request may be handed back and placed
+	// again before it stays in its queue.
+	maxHandbacks = 3
+	// patienceFactor and patienceSlack compute the accepted queueing time from
+	// the predicted one.
 	patienceFactor = 1.5
 	patienceSlack  = 150 * time.Millisecond
-	// absentMost is how long a request waits for agents that are being replaced:
-	// an entry links with a new process well within it.
-	absentMost = time.Second
-	// absentPause is between two looks for one that is back.
-	absentPause = 20 * time.Millisecond
+	// restartWait is how long a request waits for agents that are being
+	// replaced. It is well above the time that an entry needs to link with a new
+	// process.
+	restartWait = time.Second
+	// restartPollInterval is the time between checks for a replaced agent.
+	restartPollInterval = 20 * time.Millisecond
 )
 
-// search is one request's way through the candidates.
+// search selects one candidate after another for a request.
 type search struct {
 	call *call
-	// declined are upstreams that will not run the request.
+	// declined holds upstreams that will not run the request.
 	declined map[string]bool
-	// left are upstreams where it waited longer than was predicted.
-	left  map[string]bool
-	moves int
-	// absentUntil is until when agents that are being replaced are waited for; it
-	// is zero while none was met.
-	absentUntil time.Time
-	// wide tells that the first set was not enough.
+	// left holds upstreams that handed the request back after its patience.
+	left      map[string]bool
+	handbacks int
+	// restartDeadline ends the wait for agents that are being replaced. It is
+	// zero until one was found.
+	restartDeadline time.Time
+	// wide means that the initial candidates are exhausted.
 	wide bool
-	// bound tells that it may not be handed back: each move of a keyed action
-	// costs a write.
-	bound bool
+	// noHandback means that the request must not be handed back: each move of a
+	// keyed action costs a write to the store.
+	noHandback bool
 }
 
 func newSearch(c *call) *search {
-	return &search{call: c, declined: make(map[string]bool), left: make(map[string]bool), bound: c.q.Keyed()}
+	return &search{call: c, declined: make(map[string]bool), left: make(map[string]bool), noHandback: c.q.Keyed()}
 }
 
-// find returns the best upstream that may still run the request. While all that
-// might are being replaced, it waits for one to be back.
+// find returns the best upstream that may still run the request. While all such
+// upstreams have their agents replaced, it waits for one to return.
 func (s *search) find(ctx context.Context) (choice, bool) {
 	for {
 		now := s.call.entry.now()
@@ -54,40 +55,40 @@
 		if ok || ctx.Err() != nil || !s.mayReturn(now) {
 			return next, ok
 		}
-		wait.For(ctx, absentPause)
+		wait.For(ctx, restartPollInterval)
 	}
 }
 
-// mayReturn tells whether the agent of an upstream that has declined nothing for
-// good is probably being replaced, and whether there is time to wait for it.
+// mayReturn reports whether the agent of an upstream that has not declined the
+// request is probably being replaced, and there is time to wait for it.
 func (s *search) mayReturn(now time.Time) bool {
-	if !s.awaits(now) || now.After(s.call.q.Deadline()) {
+	if !s.awaitsRestart(now) || now.After(s.call.q.Deadline()) {
 		return false
 	}
 	for _, u := range s.call.entry.table.Service(s.call.q.Service().Name()) {
-		if !s.declined[u.Name()] && u.Returning(now, absentMost) {
+		if !s.declined[u.Name()] && u.Returning(now, restartWait) {
 			return true
 		}
 	}
 	return false
 }
 
-// awaits tells whether agents that are being replaced are still waited for. The
-// time for that begins with the first.
-func (s *search) awaits(now time.Time) bool {
-	if s.absentUntil.IsZero() {
-		s.absentUntil = now.Add(absentMost)
+// awaitsRestart reports whether to wait for agents that are being replaced. The
+// first call starts the time for that.
+func (s *search) awaitsRestart(now time.Time) bool {
+	if s.restartDeadline.IsZero() {
+		s.restartDeadline = now.Add(restartWait)
 	}
-	return now.Before(s.absentUntil)
+	return now.Before(s.restartDeadline)
 }
 
-// next plans anew, since each decline brings news, and returns the best
-// upstream that may still run the request.
+// next plans again, as each decline updates the load of an upstream, and
+// returns the best upstream that may still run the request.
 func (s *search) next(now time.Time) (choice, bool) {
 	plan := s.call.entry.plan(now, s.call.q, s.call.doc, s.wide)
 	for _, c := range plan {
 		name := c.upstream.Name()
-		if !s.declined[name] && !s.left[name] && len(s.declined) < wideSet {
+		if !s.declined[name] && !s.left[name] && len(s.declined) < maxCandidates {
 			return c, true
 		}
 	}
@@ -99,36 +100,36 @@
 		return choice{}, false
 	}
 	clear(s.left)
-	s.moves = movesMost
+	s.handbacks = maxHandbacks
 	return s.next(now)
 }
 
-// patience is how long the request may wait there before it is handed back,
-// or 0 when it waits to its end. An entry's view is stale: others may have
-// chosen the same upstream in the same moment.
+// patience returns how long the request may wait in the queue there before it
+// is handed back, or 0 if it must not be. It is limited because an entry's view
+// is stale: others may have chosen the same upstream at the same time.
 func (s *search) patience(c choice) time.Duration {
-	if s.bound || s.moves >= movesMost {
+	if s.noHandback || s.handbacks >= maxHandbacks {
 		return 0
 	}
 	return time.Duration(patienceFactor*float64(c.wait)) + patienceSlack
 }
 
-// note takes a decline.
-func (s *search) note(now time.Time, c choice, reason wire.Decline_Reason) {
+// recordDecline records a decline of the request.
+func (s *search) recordDecline(now time.Time, c choice, reason wire.Decline_Reason) {
 	switch {
 	case reason == wire.Decline_REASON_PATIENCE:
 		s.left[c.upstream.Name()] = true
-		s.moves++
-	case replaced(reason) && s.awaits(now):
-		// The process that takes the agent's place may run it.
+		s.handbacks++
+	case agentReplaced(reason) && s.awaitsRestart(now):
+		// The process that replaces the agent may run it.
 	default:
 		s.declined[c.upstream.Name()] = true
 	}
 }
 
-// replaced tells whether the reason is that an agent's process ends, has ended, or
-// is not the one that the offer was made to.
-func replaced(reason wire.Decline_Reason) bool {
+// agentReplaced reports whether the reason is that the agent's process is
+// ending, has ended, or is not the one that the offer was made to.
+func agentReplaced(reason wire.Decline_Reason) bool {
 	switch reason {
 	case wire.Decline_REASON_LEAVING, wire.Decline_REASON_INCARNATION, wire.Decline_REASON_UNREACHABLE:
 		return true
--- a/internal/role/entry/serve.go
+++ b/internal/role/entry/serve.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// retryAtLeast and retryAtMost bound the Retry-After that a caller is told.
-	retryAtLeast = 500 * time.Millisecond
-	retryAtMost  = 30 * time.Second
+	// minRetryAfter and maxRetryAfter bound the Retry-After sent to callers.
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
-// handler routes operators' endpoints and callers' requests.
+// handler serves the endpoints for operators and callers' requests.
 func (e *Entry) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -33,11 +33,11 @@
 
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !e.Ready() {
-		http.Error(w, "leaving, or no configuration yet", http.StatusServiceUnavailable)
+		http.Error(w, "draining, or no configuration received yet", http.StatusServiceUnavailable)
 	}
 }
 
-// call is one caller's request on its way.
+// call is the state of one caller's request.
 type call struct {
 	entry   *Entry
 	q       *request.Request
@@ -45,7 +45,8 @@
 	out     *output
 	outcome *outcome.Outcome
 	retried bool
-	// retryAfter is when the upstreams that declined expect room.
+	// retryAfter is the shortest queueing time that a declining upstream
+	// reported, 0 if none did.
 	retryAfter time.Duration
 	tooLate    int
 	declines   int
@@ -56,7 +57,7 @@
 	w.Header().Set(request.HeaderRequestID, id)
 	doc, revision := e.log.Current()
 	if revision == 0 {
-		refusal.New(refusal.NotConfigured, refusal.NotRun, "no configuration is known here yet", "try again").RetryAfter(time.Second).Write(w, id)
+		refusal.New(refusal.NotConfigured, refusal.NotRun, "this entry has no configuration yet", "try again").RetryAfter(time.Second).Write(w, id)
 		return
 	}
 	q, refused := request.Read(now, id, r, doc)
@@ -73,11 +74,12 @@
 	c.finish(w, refused)
 }
 
-// run serves the request and returns why it has no whole answer, if so.
+// run serves the request and returns a refusal if there is no complete
+// response.
 func (c *call) run(ctx context.Context) *refusal.Refusal {
 	now := c.entry.now()
 	if c.entry.suspects.Standing(now, c.q.Fingerprint()) == suspect.Convicted {
-		return convicted()
+		return convictedRefusal()
 	}
 	if c.q.Keyed() {
 		return c.runKeyed(ctx)
@@ -86,7 +88,7 @@
 	return c.refusalOf(r)
 }
 
-// finish settles the outcome, tells the caller of a refusal at once, and logs.
+// finish records and logs the outcome and sends a refusal to the caller.
 func (c *call) finish(w http.ResponseWriter, refused *refusal.Refusal) {
 	e, now := c.entry, c.entry.now()
 	kind := outcome.Answered
@@ -108,20 +110,20 @@
 		return
 	}
 	if c.out.started {
-		// The answer broke off after its first byte: the connection is
-		// aborted, so that no caller takes a part for the whole.
+		// The response ended early after its first byte: the connection is
+		// aborted, so that the caller does not take it for complete.
 		panic(http.ErrAbortHandler)
 	}
 	refused.Write(w, c.q.ID())
 }
 
-// errGoneRefusal stands for a caller that is gone and is told nothing.
-var errGoneRefusal = refusal.New(refusal.Lost, refusal.MayHaveRun, "the caller is gone", "none")
+// errGoneRefusal marks that the caller has disconnected; it is never sent.
+var errGoneRefusal = refusal.New(refusal.Lost, refusal.MayHaveRun, "caller disconnected", "none")
 
-// dispatch asks upstreams in turn until one answers. It goes on to the next
-// only on proof that the last one did not run the request, or, where the
-// rules allow a second run, once the first is known to be over. Before is
-// asked before each offer and may forbid it.
+// dispatch offers the request to one upstream after another until one answers.
+// It tries the next only after proof that the last one did not run the request
+// or, where the rules allow a second run, after the first run has ended. It
+// calls before ahead of each offer and stops if that returns false.
 func (c *call) dispatch(ctx context.Context, before func(choice) bool) result {
 	e := c.entry
 	s := newSearch(c)
@@ -144,11 +146,11 @@
 		case r.ending == notRun:
 			e.logger.Info("offer not run", "node", e.settings.Node(), "request", c.q.ID(), "upstream", next.upstream.Name(),
 				"reason", r.reason.String(), "incarnation", next.incarnation)
-			s.note(e.now(), next, r.reason)
-			c.note(next, r)
+			s.recordDecline(e.now(), next, r.reason)
+			c.recordDecline(next, r)
 			last = r
 		case r.ending == failedEarly && c.mayRunAgain(now):
-			s.note(e.now(), next, wire.Decline_REASON_UNSPECIFIED)
+			s.recordDecline(e.now(), next, wire.Decline_REASON_UNSPECIFIED)
 			c.retried = true
 			c.out.reset()
 			last = r
@@ -160,18 +162,18 @@
 
 func (c *call) try(ctx context.Context, next choice) result {
 	e := c.entry
-	e.moves.check(c.q, next.upstream, c.doc)
+	e.rollouts.checkShare(c.q, next.upstream, c.doc)
 	a := &attempt{entry: e, q: c.q, out: c.out, upstream: next.upstream, runID: c.q.ID(), dispatched: c.outcome.Dispatched, mayRetry: c.q.RepeatSafe() && !c.retried}
 	started := e.now()
 	r := a.offer(ctx, next)
 	e.metrics.offered(r)
-	c.learn(started, next, r)
+	c.recordResult(started, next, r)
 	return r
 }
 
-// learn feeds the forecast of plain services and this entry's own evidence on
-// versions under test.
-func (c *call) learn(started time.Time, next choice, r result) {
+// recordResult updates the forecast and this entry's evidence on versions in
+// rollout.
+func (c *call) recordResult(started time.Time, next choice, r result) {
 	e, now := c.entry, c.entry.now()
 	if r.ending == notRun || r.ending == callerGone || r.outcome == wire.End_OUTCOME_PREEMPTED {
 		return
@@ -185,12 +187,12 @@
 		}
 		e.forecast.Observe(now, route(c.q), length)
 	}
-	e.moves.observe(c.q, next.upstream, failed)
+	e.rollouts.observe(c.q, next.upstream, failed)
 }
 
-// mayRunAgain tells whether a run that is known to be over may be followed by
-// another: the rules say so, no byte was handed on, it is the first time, and
-// the fleet's budget has room.
+// mayRunAgain reports whether an ended run may be followed by another: the
+// rules allow it, the caller got no byte, it is the first retry, and the retry
+// budget is not exhausted.
 func (c *call) mayRunAgain(now time.Time) bool {
 	if !c.q.RepeatSafe() || c.out.started || c.retried || now.After(c.q.Deadline()) {
 		return false
@@ -201,7 +203,7 @@
 	return c.entry.retries.Take(now, 1, 0)
 }
 
-func (c *call) note(next choice, r result) {
+func (c *call) recordDecline(next choice, r result) {
 	if r.reason != wire.Decline_REASON_PATIENCE {
 		c.declines++
 	}
@@ -219,7 +221,7 @@
 	}
 }
 
-// refusalOf words what a caller is told of a result.
+// refusalOf returns the refusal to send to the caller, nil if it was answered.
 func (c *call) refusalOf(r result) *refusal.Refusal {
 	switch r.ending {
 	case answered:
@@ -229,38 +231,40 @@
 		return errGoneRefusal
 	case notRun:
 		if c.retried {
-			return refusal.New(refusal.Failed, refusal.MayHaveRun, "the upstream failed, and no other took the request", "send it again; its action is safe to repeat").RetryAfter(c.advice())
+			return refusal.New(refusal.Failed, refusal.MayHaveRun, "the upstream failed, and no other accepted the request", "send it again; its action is safe to repeat").RetryAfter(c.retryAfterHint())
 		}
 		return c.notRunRefusal(r)
 	case failedEarly:
-		return refusal.New(refusal.Failed, refusal.MayHaveRun, "the upstream failed: "+orUnknown(r.detail), "look whether it took effect before sending it again")
+		return refusal.New(refusal.Failed, refusal.MayHaveRun, "the upstream failed: "+orUnknown(r.detail), "check whether it took effect before sending it again")
 	}
-	return refusal.New(refusal.Lost, refusal.MayHaveRun, "the answer was lost: "+orUnknown(r.detail), "look whether it took effect before sending it again")
+	return refusal.New(refusal.Lost, refusal.MayHaveRun, "the response was lost: "+orUnknown(r.detail), "check whether it took effect before sending it again")
 }
 
 func (c *call) notRunRefusal(r result) *refusal.Refusal {
-	after := c.advice()
+	after := c.retryAfterHint()
 	switch {
 	case r.reason == wire.Decline_REASON_CONVICTED:
-		return convicted()
+		return convictedRefusal()
 	case c.declines == 0 && r.reason == wire.Decline_REASON_UNSPECIFIED:
-		return refusal.New(refusal.NoUpstream, refusal.NotRun, "no upstream of "+c.q.Service().Name()+" can be reached", "try again shortly").RetryAfter(after)
+		return refusal.New(refusal.NoUpstream, refusal.NotRun, "no upstream of "+c.q.Service().Name()+" is reachable", "try again shortly").RetryAfter(after)
 	case c.tooLate == c.declines:
 		return refusal.New(refusal.TooLate, refusal.NotRun, "no upstream can finish it by its deadline", "try again later, or allow more time").RetryAfter(after)
 	}
-	return refusal.New(refusal.Overloaded, refusal.NotRun, "every upstream that may take it is full", "try again later").RetryAfter(after)
+	return refusal.New(refusal.Overloaded, refusal.NotRun, "all upstreams for this request are at capacity", "try again later").RetryAfter(after)
 }
 
-// advice is when another try is worth making.
-func (c *call) advice() time.Duration { return min(max(c.retryAfter, retryAtLeast), retryAtMost) }
+// retryAfterHint returns the Retry-After to send to the caller.
+func (c *call) retryAfterHint() time.Duration {
+	return min(max(c.retryAfter, minRetryAfter), maxRetryAfter)
+}
 
-func convicted() *refusal.Refusal {
-	return refusal.New(refusal.Convicted, refusal.NotRun, "this very request has crashed two upstreams", "do not send it again; change it or report it")
+func convictedRefusal() *refusal.Refusal {
+	return refusal.New(refusal.Convicted, refusal.NotRun, "an identical request has crashed two upstreams", "do not send it again; change it or report it")
 }
 
 func orUnknown(detail string) string {
 	if detail == "" {
-		return "no reason was given"
+		return "no details were reported"
 	}
 	return detail
 }
--- a/internal/role/entry/status.go
+++ b/internal/role/entry/status.go
@@ -14,13 +14,13 @@
 	"github.com/persimmonridge/persimmonridge/internal/fleet/wire"
 )
 
-// Status is what an entry tells operators of itself.
+// Status is the response of the entry's status endpoint.
 type Status struct {
 	Node       string           `json:"node"`
 	Revision   uint64           `json:"revision"`
 	Leaving    bool             `json:"leaving"`
 	Upstreams  []UpstreamStatus `json:"upstreams"`
-	Moves      []moveStatus     `json:"moves"`
+	Moves      []rolloutStatus  `json:"moves"`
 	Partitions int              `json:"claim-partitions"`
 	Duty       bool             `json:"steps-moves"`
 	Convicted  int              `json:"convicted-requests"`
@@ -28,7 +28,7 @@
 	Store      StoreStatus      `json:"store"`
 }
 
-// UpstreamStatus is one upstream as this entry knows it.
+// UpstreamStatus is the status of an upstream as known to this entry.
 type UpstreamStatus struct {
 	Name          string   `json:"name"`
 	Service       string   `json:"service"`
@@ -40,7 +40,7 @@
 	Waiting       []uint32 `json:"waiting-by-tier"`
 }
 
-// StoreStatus is the entry's account of its calls on the platform's store.
+// StoreStatus counts the entry's calls to the platform's store.
 type StoreStatus struct {
 	Reads     uint64 `json:"reads"`
 	Writes    uint64 `json:"writes"`
@@ -49,13 +49,13 @@
 	Bytes     uint64 `json:"bytes"`
 }
 
-// Status returns what the entry tells of itself.
+// Status returns the entry's current status.
 func (e *Entry) Status() Status {
 	now := e.now()
 	account := e.store.Account()
 	s := Status{
 		Node: e.settings.Node(), Revision: e.log.Revision(), Leaving: e.leaving.Load(),
-		Moves: e.moves.describe(now), Partitions: e.claims.count(), Duty: e.holder.Held(now, dutyKey),
+		Moves: e.rollouts.describe(now), Partitions: e.claims.count(), Duty: e.holder.Held(now, leaseKey),
 		Convicted: e.suspects.Convicted(now), Breaches: e.invariants.Total(),
 		Store: StoreStatus{Reads: account.Reads(), Writes: account.Writes(), Failures: account.Failures(), Throttled: account.Throttled(), Bytes: account.Bytes()},
 	}
@@ -93,7 +93,7 @@
 	_ = encoder.Encode(e.Status())
 }
 
-// metrics counts for /metrics.
+// metrics holds the collectors that /metrics exposes.
 type metrics struct {
 	registry  *prometheus.Registry
 	outcomes  *prometheus.CounterVec
@@ -109,12 +109,12 @@
 		registry:  prometheus.NewRegistry(),
 		outcomes:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_requests_total", Help: "Requests by tier and outcome."}, []string{"tier", "outcome"}),
 		refusals:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_refusals_total", Help: "Refusals by kind."}, []string{"kind", "ran"}),
-		offers:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_offers_total", Help: "Offers by how they ended."}, []string{"reason"}),
+		offers:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_offers_total", Help: "Offers by result."}, []string{"reason"}),
 		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "persimmonridge_first_byte_seconds", Help: "Time to the first byte of answers.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}, []string{"tier"}),
-		resumed:   prometheus.NewCounter(prometheus.CounterOpts{Name: "persimmonridge_links_replaced_total", Help: "Links replaced under a request."}),
-		inFlight:  prometheus.NewGauge(prometheus.GaugeOpts{Name: "persimmonridge_requests_in_flight", Help: "Requests under way."}),
+		resumed:   prometheus.NewCounter(prometheus.CounterOpts{Name: "persimmonridge_links_replaced_total", Help: "Links replaced during a request."}),
+		inFlight:  prometheus.NewGauge(prometheus.GaugeOpts{Name: "persimmonridge_requests_in_flight", Help: "Requests in progress."}),
 	}
-	breaches := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_invariant_breaches", Help: "Invariants seen broken."}, func() float64 { return float64(e.invariants.Total()) })
+	breaches := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_invariant_breaches", Help: "Invariant violations detected."}, func() float64 { return float64(e.invariants.Total()) })
 	revision := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_config_revision", Help: "Configuration revision in force."}, func() float64 { return float64(e.log.Revision()) })
 	m.registry.MustRegister(m.outcomes, m.refusals, m.offers, m.firstByte, m.resumed, m.inFlight, breaches, revision)
 	return m
