--- a/internal/fleet/control/control.go
+++ b/internal/fleet/control/control.go
@@ -1,7 +1,7 @@
-// Package control is the conversation that two processes keep beside their
-// requests, one stream for each session: each tells the other what changed,
-// and whoever holds the higher configuration revision hands it on. Nothing is
-// sent while nothing changes.
+// Package control exchanges state between two processes on a control stream,
+// one for each session, separate from their requests. Each side sends notices of
+// its changes, and the side with the higher configuration revision sends the
+// missing changes. Nothing is sent while nothing changes.
 package control
 
 import (
@@ -18,21 +18,22 @@
 )
 
 const (
-	// noticeGap is the least time between two notices on one stream.
-	noticeGap = 40 * time.Millisecond
-	// relayGap is the least time between two exchanges of configuration on one
-	// stream, and relayMost the number of conversations up to which all are
-	// told of a change at once.
-	relayGap  = 500 * time.Millisecond
-	relayMost = 64
-	// sendTimeout bounds the writing of one message.
+	// noticeInterval is the minimum time between two notices on one stream.
+	noticeInterval = 40 * time.Millisecond
+	// syncInterval is the minimum time between two exchanges of configuration on
+	// one stream, and maxBroadcastStreams the number of streams up to which a
+	// change is sent on all of them immediately.
+	syncInterval        = 500 * time.Millisecond
+	maxBroadcastStreams = 64
+	// sendTimeout bounds the sending of one message.
 	sendTimeout = 5 * time.Second
-	// idleLimit is how long a peer may say nothing: forever, in effect, since
-	// requests and not notices are the evidence that a link lives.
-	idleLimit = 365 * 24 * time.Hour
+	// receiveTimeout is effectively unlimited: a control stream may be silent, as
+	// requests and not notices show whether a link is alive.
+	receiveTimeout = 365 * 24 * time.Hour
 )
 
-// Signal wakes all who wait for a change. It is safe for concurrent use.
+// Signal wakes all goroutines that wait for a change. It is safe for concurrent
+// use.
 type Signal struct {
 	mu sync.Mutex
 	ch chan struct{}
@@ -41,7 +42,7 @@
 // NewSignal returns a signal.
 func NewSignal() *Signal { return &Signal{ch: make(chan struct{})} }
 
-// Raise wakes all who wait now.
+// Raise wakes all current waiters.
 func (s *Signal) Raise() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,8 +57,8 @@
 	return s.ch
 }
 
-// Peer is what a process tells on its control streams, and where it puts what
-// it is told.
+// Peer holds the state that a process sends on its control streams and updates
+// from the notices that it receives.
 type Peer struct {
 	log      *changelog.Log
 	suspects *suspect.Register
@@ -66,185 +67,189 @@
 	now      func() time.Time
 	describe func(now time.Time, notice *wire.Notice, evidence bool)
 
-	mu            sync.Mutex
-	conversations map[string]*conversation
-	open          int
+	mu          sync.Mutex
+	streams     map[string]*controlStream
+	openStreams int
 }
 
 // Option sets one of a peer's hooks.
 type Option func(*Peer)
 
-// Describe lets f add to each notice before it is sent; evidence tells whether
-// the other side wants the evidence on versions.
+// Describe sets a function that adds to each notice before it is sent. Its
+// parameter evidence reports whether the receiver wants evidence on versions.
 func Describe(f func(now time.Time, notice *wire.Notice, evidence bool)) Option {
 	return func(p *Peer) { p.describe = f }
 }
 
-// Evidence is raised by whoever has new evidence. It wakes only conversations
-// whose other side wants it: with hundreds of entries, telling all of them
-// would cost an agent more than everything else together.
+// Evidence sets the signal that is raised on new evidence. It wakes only streams
+// whose other side wants evidence: with hundreds of entries, sending it to all
+// of them would cost an agent more than all its other work.
 func Evidence(s *Signal) Option { return func(p *Peer) { p.evidence = s } }
 
-// NewPeer returns a peer over a configuration log and a register of crashes.
-// Changed is raised by whoever changes something worth telling.
+// NewPeer returns a peer for a configuration log and a register of crashes.
+// The signal changed is raised on every change that a notice reports.
 func NewPeer(log *changelog.Log, suspects *suspect.Register, changed *Signal, now func() time.Time, options ...Option) *Peer {
-	p := &Peer{log: log, suspects: suspects, changed: changed, now: now, evidence: NewSignal(), conversations: make(map[string]*conversation)}
+	p := &Peer{log: log, suspects: suspects, changed: changed, now: now, evidence: NewSignal(), streams: make(map[string]*controlStream)}
 	for _, option := range options {
 		option(p)
 	}
 	return p
 }
 
-// Run keeps the conversation with the peer at the address until the stream or
-// the context ends. Learn is called with each notice of the other side; it may
-// be nil. The address may be empty where nobody will ask for it.
-func (p *Peer) Run(ctx context.Context, address string, stream *link.Stream, learn func(now time.Time, notice *wire.Notice)) {
+// Run serves the control stream with the peer at the address until the stream or
+// the context ends. It calls onNotice with each received notice, unless that is
+// nil. The address may be empty if Heard is never called for this peer.
+func (p *Peer) Run(ctx context.Context, address string, stream *link.Stream, onNotice func(now time.Time, notice *wire.Notice)) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
-	c := &conversation{peer: p, stream: stream, learn: learn, heard: NewSignal()}
-	p.enter(address, c)
-	var writing sync.WaitGroup
-	writing.Go(func() {
+	c := &controlStream{peer: p, stream: stream, onNotice: onNotice, revisionReported: NewSignal()}
+	p.addStream(address, c)
+	var writer sync.WaitGroup
+	writer.Go(func() {
 		defer cancel()
-		c.tell(ctx)
+		c.sendUpdates(ctx)
 	})
-	c.listen()
+	c.receive()
 	cancel()
-	writing.Wait()
-	p.leave(address, c)
+	writer.Wait()
+	p.removeStream(address, c)
 	stop()
 	_ = stream.Close()
 }
 
-func (p *Peer) enter(address string, c *conversation) {
+func (p *Peer) addStream(address string, c *controlStream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conversations[address] = c
-	p.open++
+	p.streams[address] = c
+	p.openStreams++
 }
 
-func (p *Peer) leave(address string, c *conversation) {
+func (p *Peer) removeStream(address string, c *controlStream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
-	if p.conversations[address] == c {
-		delete(p.conversations, address)
+	p.openStreams--
+	if p.streams[address] == c {
+		delete(p.streams, address)
 	}
 }
 
-// few tells whether there are so few conversations that all may be told of a
-// change of configuration at once.
-func (p *Peer) few() bool {
+// broadcasts reports whether there are few enough streams to send a
+// configuration change on all of them immediately.
+func (p *Peer) broadcasts() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open <= relayMost
+	return p.openStreams <= maxBroadcastStreams
 }
 
-// Heard takes the revision that the peer at the address has said it holds, with
-// a load report for example. A peer that is behind is sent what it lacks, and
-// one that is ahead is asked. That way a change goes only to those that traffic
-// goes to, and once; telling every link of every change would cost an entry of
-// the design size more than its whole budget.
+// Heard records the configuration revision of the peer at the address, as it
+// was reported with a load report, for example. A peer with a lower revision is
+// sent the missing changes; one with a higher revision is asked for them. This
+// way a change is sent once, and only to peers that receive traffic; sending
+// every change on every link would cost an entry of the design size more than
+// its whole budget.
 func (p *Peer) Heard(address string, revision uint64) {
 	p.mu.Lock()
-	c := p.conversations[address]
+	c := p.streams[address]
 	p.mu.Unlock()
 	if c != nil {
-		c.note(revision)
+		c.setRevision(revision)
 	}
 }
 
-// conversation is one control stream.
-type conversation struct {
-	peer   *Peer
-	stream *link.Stream
-	learn  func(now time.Time, notice *wire.Notice)
-	heard  *Signal
-	// pace is how often the other side wants evidence, 0 for never.
-	pace atomic.Int64
-	// revision is what the other side last said it holds, or was sent since;
-	// known tells whether it has said anything.
+// controlStream is the state of one control stream.
+type controlStream struct {
+	peer             *Peer
+	stream           *link.Stream
+	onNotice         func(now time.Time, notice *wire.Notice)
+	revisionReported *Signal
+	// evidenceInterval is how often the other side wants evidence, in
+	// nanoseconds, 0 for never.
+	evidenceInterval atomic.Int64
+	// revision is the configuration revision that the other side last reported
+	// or was sent since; known is set once it has reported one.
 	revision atomic.Uint64
 	known    atomic.Bool
 }
 
-// note takes the other side's revision and wakes the conversation if there is
-// anything to do about it.
-func (c *conversation) note(revision uint64) {
+// setRevision records the other side's revision and wakes the stream if it
+// differs from this side's.
+func (c *controlStream) setRevision(revision uint64) {
 	c.revision.Store(revision)
 	c.known.Store(true)
 	if revision != c.peer.log.Revision() {
-		c.heard.Raise()
+		c.revisionReported.Raise()
 	}
 }
 
-// tell sends notices when something changed, and configuration when one side
-// lacks it.
-func (c *conversation) tell(ctx context.Context) {
+// sendUpdates sends notices on changes, and synchronizes the configuration when
+// the revisions differ.
+func (c *controlStream) sendUpdates(ctx context.Context) {
 	p := c.peer
-	var told, relayed time.Time
+	var lastNotice, lastSync time.Time
 	for due := true; ; {
-		changed, heard := p.changed.Wait(), c.heard.Wait()
+		changed, revisionReported := p.changed.Wait(), c.revisionReported.Wait()
 		evidence, logChanged := p.evidence.Wait(), p.log.Changed()
 		now := p.now()
 		if due {
-			told = now
-			if err := c.send(now, notice(p.notice(now, c.pace.Load() > 0))); err != nil {
+			lastNotice = now
+			if err := c.send(now, noticeEnvelope(p.notice(now, c.evidenceInterval.Load() > 0))); err != nil {
 				return
 			}
 		}
-		wait := relayGap - now.Sub(relayed)
-		if wait <= 0 && c.apart() {
-			relayed = now
-			if err := c.relay(now); err != nil {
+		wait := syncInterval - now.Sub(lastSync)
+		if wait <= 0 && c.revisionsDiffer() {
+			lastSync = now
+			if err := c.syncConfiguration(now); err != nil {
 				return
 			}
 		}
-		var again <-chan time.Time
-		if wait > 0 && c.apart() {
-			again = time.After(wait)
+		var syncDue <-chan time.Time
+		if wait > 0 && c.revisionsDiffer() {
+			syncDue = time.After(wait)
 		}
-		if !p.few() {
+		if !p.broadcasts() {
 			logChanged = nil
 		}
-		due = c.await(ctx, told, changed, evidence, heard, logChanged, again)
+		due = c.await(ctx, lastNotice, changed, evidence, revisionReported, logChanged, syncDue)
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// apart tells whether the two sides are known to hold different revisions.
-func (c *conversation) apart() bool {
+// revisionsDiffer reports whether the two sides are known to have different
+// revisions.
+func (c *controlStream) revisionsDiffer() bool {
 	return c.known.Load() && c.revision.Load() != c.peer.log.Revision()
 }
 
-// relay sends the other side what it lacks, or asks it for what this one does.
-// What was sent counts as held; should it be lost, the next load report says
-// so.
-func (c *conversation) relay(now time.Time) error {
+// syncConfiguration sends the changes that the other side lacks, or requests
+// those that this side lacks. Sent changes are assumed to arrive; if they are
+// lost, the next load report shows it.
+func (c *controlStream) syncConfiguration(now time.Time) error {
 	theirs, ours := c.revision.Load(), c.peer.log.Revision()
 	if theirs > ours {
-		return c.send(now, ask(ours))
+		return c.send(now, changesRequest(ours))
 	}
 	c.revision.CompareAndSwap(theirs, ours)
 	return c.send(now, c.peer.changes(theirs))
 }
 
-// await waits until something is to be done, and tells whether a notice is due.
-// A change is told at once, evidence where it is wanted and at its pace.
-func (c *conversation) await(ctx context.Context, told time.Time, changed, evidence, heard, logChanged <-chan struct{}, again <-chan time.Time) bool {
+// await waits for the next event and reports whether a notice is due. Changes
+// are sent immediately, evidence only if it is wanted and at most once per
+// evidenceInterval.
+func (c *controlStream) await(ctx context.Context, lastNotice time.Time, changed, evidence, revisionReported, logChanged <-chan struct{}, syncDue <-chan time.Time) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(noticeGap):
+	case <-time.After(noticeInterval):
 	}
-	pace := time.Duration(c.pace.Load())
-	if pace == 0 {
+	interval := time.Duration(c.evidenceInterval.Load())
+	if interval == 0 {
 		evidence = nil
-	} else if left := told.Add(pace).Sub(c.peer.now()); left > 0 {
+	} else if left := lastNotice.Add(interval).Sub(c.peer.now()); left > 0 {
 		evidence = delayed(ctx, evidence, left)
 	}
 	select {
@@ -253,17 +258,17 @@
 		return true
 	case <-evidence:
 		return true
-	case <-heard:
+	case <-revisionReported:
 	case <-logChanged:
-	case <-again:
+	case <-syncDue:
 	}
 	return false
 }
 
-// delayed returns a channel that closes once the signal came and the time has
-// passed.
+// delayed returns a channel that is closed once the time has passed and the
+// signal was raised.
 func delayed(ctx context.Context, signal <-chan struct{}, left time.Duration) <-chan struct{} {
-	both := make(chan struct{})
+	ready := make(chan struct{})
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -273,13 +278,13 @@
 		select {
 		case <-ctx.Done():
 		case <-signal:
-			close(both)
+			close(ready)
 		}
 	}()
-	return both
+	return ready
 }
 
-func (c *conversation) send(now time.Time, envelope *wire.Envelope) error {
+func (c *controlStream) send(now time.Time, envelope *wire.Envelope) error {
 	return c.stream.Send(now.Add(sendTimeout), envelope)
 }
 
@@ -294,17 +299,17 @@
 	return n
 }
 
-func (c *conversation) listen() {
+func (c *controlStream) receive() {
 	p := c.peer
 	for {
-		envelope, err := c.stream.Receive(p.now().Add(idleLimit))
+		envelope, err := c.stream.Receive(p.now().Add(receiveTimeout))
 		if err != nil {
 			return
 		}
 		now := p.now()
 		switch body := envelope.GetBody().(type) {
 		case *wire.Envelope_Notice:
-			c.takeNotice(now, body.Notice)
+			c.handleNotice(now, body.Notice)
 		case *wire.Envelope_ChangesAsk:
 			err = c.send(now, p.changes(body.ChangesAsk.GetAbove()))
 		case *wire.Envelope_Changes:
@@ -316,26 +321,26 @@
 	}
 }
 
-func (c *conversation) takeNotice(now time.Time, n *wire.Notice) {
-	c.peer.take(now, n)
-	if c.learn != nil {
-		c.learn(now, n)
+func (c *controlStream) handleNotice(now time.Time, n *wire.Notice) {
+	c.peer.recordCrashes(now, n)
+	if c.onNotice != nil {
+		c.onNotice(now, n)
 	}
-	every := int64(time.Duration(n.GetEvidenceEveryMs()) * time.Millisecond)
-	if before := c.pace.Swap(every); before == 0 && every > 0 {
+	interval := int64(time.Duration(n.GetEvidenceEveryMs()) * time.Millisecond)
+	if before := c.evidenceInterval.Swap(interval); before == 0 && interval > 0 {
 		c.peer.changed.Raise()
 	}
-	c.note(n.GetRevision())
+	c.setRevision(n.GetRevision())
 }
 
-func (p *Peer) take(now time.Time, n *wire.Notice) {
-	news := false
+func (p *Peer) recordCrashes(now time.Time, n *wire.Notice) {
+	isNew := false
 	for _, crash := range n.GetCrashes() {
 		if p.suspects.Learn(now, suspect.NewCrash(crash.GetId(), now, crash.GetFingerprints())) {
-			news = true
+			isNew = true
 		}
 	}
-	if news {
+	if isNew {
 		p.changed.Raise()
 	}
 }
@@ -355,8 +360,8 @@
 	return &wire.Envelope{Body: &wire.Envelope_Changes{Changes: out}}
 }
 
-// apply takes a peer's changes. What does not parse or does not follow is
-// dropped: the store's own log will bring the node up to date.
+// apply applies a peer's changes. Changes that cannot be decoded or do not
+// continue the log are dropped: the node catches up from the log in the store.
 func (p *Peer) apply(c *wire.Changes) {
 	var snapshot *changelog.Snapshot
 	if len(c.GetSnapshot()) > 0 {
@@ -376,10 +381,10 @@
 	_ = p.log.Apply(snapshot, records)
 }
 
-func notice(n *wire.Notice) *wire.Envelope {
+func noticeEnvelope(n *wire.Notice) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Notice{Notice: n}}
 }
 
-func ask(above uint64) *wire.Envelope {
+func changesRequest(above uint64) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_ChangesAsk{ChangesAsk: &wire.ChangesAsk{Above: above}}}
 }
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -25,27 +25,28 @@
 	"github.com/persimmonridge/persimmonridge/internal/upstream/suspect"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLogger = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// node is one side of a conversation.
+// node is one side of a control stream.
 type node struct {
 	log      *changelog.Log
 	suspects *suspect.Register
 	changed  *control.Signal
 	evidence *control.Signal
 	peer     *control.Peer
-	// told counts the routes of evidence that the node was told.
-	told atomic.Int64
+	// evidenceReceived counts the routes of evidence that the node received.
+	evidenceReceived atomic.Int64
 }
 
 func newNode(options ...control.Option) *node {
-	n := &node{log: changelog.New(invariant.New(quiet)), suspects: suspect.New(), changed: control.NewSignal(), evidence: control.NewSignal()}
+	n := &node{log: changelog.New(invariant.New(discardLogger)), suspects: suspect.New(), changed: control.NewSignal(), evidence: control.NewSignal()}
 	n.peer = control.NewPeer(n.log, n.suspects, n.changed, time.Now, append(options, control.Evidence(n.evidence))...)
 	return n
 }
 
-// converse links two nodes; the dialing one knows the other by its address.
-func converse(t *testing.T, dialing, accepting *node) (address string) {
+// connect links two nodes and returns the address by which the dialing one knows
+// the other.
+func connect(t *testing.T, dialing, accepting *node) (address string) {
 	net := network.New()
 	listener, err := net.Listen("127.0.0.1:0")
 	require.NoError(t, err)
@@ -57,7 +58,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		dialing.peer.Run(ctx, server.Addr(), stream, func(_ time.Time, n *wire.Notice) { dialing.told.Add(int64(len(n.GetEvidence()))) })
+		dialing.peer.Run(ctx, server.Addr(), stream, func(_ time.Time, n *wire.Notice) { dialing.evidenceReceived.Add(int64(len(n.GetEvidence()))) })
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -68,7 +69,7 @@
 	return server.Addr()
 }
 
-// records makes accepted changes.
+// records returns the records of accepted changes.
 func records(t *testing.T, count int) []changelog.Record {
 	net := network.New()
 	p, err := platform.New(net, 1)
@@ -92,14 +93,14 @@
 	return out
 }
 
-// A rule was in force at the entries and not beside the upstreams.
-// The entry takes three changes from the store, two of them within a moment;
-// the idle agent must have the last within 8 s, over the link alone.
+// Guards against a rule that is in force at the entries and not at the agents:
+// the entry gets three changes from the store in quick succession; the idle
+// agent must have the last within 8 s, by the link alone.
 func TestChangesReachAnIdleAgent(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		changes := records(t, 3)
 		entry, agent := newNode(), newNode()
-		converse(t, entry, agent)
+		connect(t, entry, agent)
 		bubble.Pass(2 * time.Second)
 		for _, record := range changes {
 			require.NoError(t, entry.log.Apply(nil, []changelog.Record{record}))
@@ -110,25 +111,27 @@
 	})
 }
 
-// An entry started while the store was down and had no configuration.
-// The agent holds it; the first notice says so and the entry asks.
-func TestEntryTakesConfigurationFromAnAgent(t *testing.T) {
+// Guards against an entry without configuration when it starts while the store
+// is down: an agent has the configuration and says so in its first notice, upon
+// which the entry must request it.
+func TestEntryFetchesConfigurationFromAgent(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		entry, agent := newNode(), newNode()
 		require.NoError(t, agent.log.Apply(nil, records(t, 2)))
-		converse(t, entry, agent)
+		connect(t, entry, agent)
 		bubble.Pass(2 * time.Second)
 		require.Equal(t, uint64(2), entry.log.Revision())
 	})
 }
 
-// What was sent was lost on the way, and nobody noticed.
-// A later load report of the agent names its old revision, and it is sent again.
-func TestLoadReportThatIsBehindIsAnswered(t *testing.T) {
+// Guards against a lost configuration change that is never sent again: a later
+// load report of the agent contains its old revision, upon which the change must
+// be sent again.
+func TestOutdatedLoadReportTriggersResend(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		changes := records(t, 2)
 		entry, agent := newNode(), newNode()
-		address := converse(t, entry, agent)
+		address := connect(t, entry, agent)
 		require.NoError(t, entry.log.Apply(nil, changes))
 		entry.peer.Heard(address, 0)
 		bubble.Pass(2 * time.Second)
@@ -136,8 +139,8 @@
 	})
 }
 
-// Evidence is told only where it is wanted, and at the pace asked for.
-func TestEvidenceIsToldAtItsPace(t *testing.T) {
+// Evidence must be sent only if it is wanted, and at the requested interval.
+func TestEvidenceIsSentAtRequestedInterval(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		var wanted atomic.Uint32
 		entry := newNode(control.Describe(func(_ time.Time, n *wire.Notice, _ bool) { n.EvidenceEveryMs = wanted.Load() }))
@@ -146,28 +149,28 @@
 				n.Evidence = []*wire.RouteEvidence{{Route: "w/a"}}
 			}
 		}))
-		converse(t, entry, agent)
+		connect(t, entry, agent)
 		count := func() int64 {
-			entry.told.Store(0)
+			entry.evidenceReceived.Store(0)
 			for range 100 {
 				agent.evidence.Raise()
 				bubble.Pass(100 * time.Millisecond)
 			}
-			return entry.told.Load()
+			return entry.evidenceReceived.Load()
 		}
 		require.Zero(t, count())
 		wanted.Store(2000)
 		entry.changed.Raise()
 		bubble.Pass(time.Second)
-		require.InDelta(t, 5, count(), 1, "ten seconds, once in two")
+		require.InDelta(t, 5, count(), 1, "notices with evidence in 10 s at an interval of 2 s")
 	})
 }
 
-// A crash seen at one node must be known at the other at once.
-func TestCrashesAreTold(t *testing.T) {
+// A crash that is recorded at one node must be known at the other immediately.
+func TestCrashesArePropagated(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		entry, agent := newNode(), newNode()
-		converse(t, entry, agent)
+		connect(t, entry, agent)
 		bubble.Pass(time.Second)
 		agent.suspects.Learn(time.Now(), suspect.NewCrash(1, time.Now(), []uint64{7}))
 		agent.changed.Raise()
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,6 +1,6 @@
-// Package member is what one entry knows of the upstreams: who may exist, by
-// the platform's lagging list, and who is alive and how busy, by what the
-// agents themselves said last.
+// Package member holds an entry's view of the upstreams: which ones may exist,
+// by the platform's list, which lags, and which are alive and how loaded they
+// are, by the last reports of their agents.
 package member
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	// referenceGap is the gap between tokens at speed 1.
-	referenceGap = 30 * time.Millisecond
-	// failedFor is how long an upstream that could not be reached is passed
-	// over at first; it doubles up to failedMost.
-	failedFor  = 250 * time.Millisecond
-	failedMost = 5 * time.Second
-	// correctionFor is how long work sent is added to an older report.
-	correctionFor = 5 * time.Second
-	// defaultSlots is assumed of an upstream that has not reported.
+	// referenceTokenInterval is the time between output tokens at speed 1.
+	referenceTokenInterval = 30 * time.Millisecond
+	// minFailureBackoff is how long an upstream is not chosen after it was first
+	// unreachable; it doubles with each failure, up to maxFailureBackoff.
+	minFailureBackoff = 250 * time.Millisecond
+	maxFailureBackoff = 5 * time.Second
+	// sentWorkLifetime is how long sent work is added to an older load report.
+	sentWorkLifetime = 5 * time.Second
+	// defaultSlots is the assumed concurrency limit of an upstream that has not
+	// reported.
 	defaultSlots = 4
 )
 
-// Upstream is one upstream as this entry knows it. It is safe for concurrent
-// use.
+// Upstream is this entry's view of one upstream. It is safe for concurrent use.
 type Upstream struct {
 	vm vmlist.VM
 
@@ -45,7 +45,7 @@
 	failedUntil time.Time
 }
 
-// sentWork is a request sent after the last report.
+// sentWork is a request that was sent after the last load report.
 type sentWork struct {
 	at     time.Time
 	work   time.Duration
@@ -59,20 +59,20 @@
 // Name returns the upstream's name.
 func (u *Upstream) Name() string { return u.vm.Upstream() }
 
-// Service returns what it serves.
+// Service returns the service that the upstream serves.
 func (u *Upstream) Service() string { return u.vm.Service() }
 
-// Version returns the version it runs.
+// Version returns the version that the upstream runs.
 func (u *Upstream) Version() string { return u.vm.Version() }
 
-// Address returns where its agent listens.
+// Address returns the address of the upstream's agent.
 func (u *Upstream) Address() string { return u.vm.Address() }
 
-// FailureDomain returns where it runs.
+// FailureDomain returns the failure domain of the upstream's VM.
 func (u *Upstream) FailureDomain() string { return u.vm.FailureDomain() }
 
-// Report takes what the agent said of itself. An older incarnation's report
-// never replaces a newer one's: incarnations rise.
+// Report applies a load report of the agent. A report of an older incarnation is
+// ignored: incarnation numbers increase.
 func (u *Upstream) Report(now time.Time, load *wire.Load) {
 	if load == nil {
 		return
@@ -90,7 +90,7 @@
 	u.failures, u.failedUntil = 0, time.Time{}
 }
 
-// Heard notes that a message of the agent arrived.
+// Heard records that a message of the agent arrived.
 func (u *Upstream) Heard(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -105,15 +105,15 @@
 	return u.heardAt
 }
 
-// HeardWithin tells whether a message of the agent arrived within the time
-// before now.
+// HeardWithin reports whether a message of the agent arrived within the given
+// time before now.
 func (u *Upstream) HeardWithin(now time.Time, d time.Duration) bool {
 	return now.Sub(u.HeardAt()) <= d
 }
 
-// Returning tells whether the agent's process ended, ends or cannot be reached, and
-// was heard within the time before now, while the platform's list keeps its VM:
-// another process probably takes its place.
+// Returning reports whether the agent's process has ended, is leaving or is
+// unreachable, but sent a message within the given time before now and its VM is
+// still listed as live. Another process will then probably replace it.
 func (u *Upstream) Returning(now time.Time, within time.Duration) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -123,9 +123,9 @@
 	return u.lost || u.load.GetLeaving() || now.Before(u.failedUntil)
 }
 
-// Lost notes that the control conversation ended. What the agent said last
-// still counts as its load, but no longer forbids an offer: the process that
-// was leaving may have been replaced.
+// Lost records that the control stream ended. The last load report stays in
+// use, but no longer prevents offers: the process that was leaving may have been
+// replaced.
 func (u *Upstream) Lost() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -136,24 +136,24 @@
 	u.known = make(chan struct{})
 }
 
-// Known returns a channel that is closed once the agent has said anything on
-// its present control conversation.
+// Known returns a channel that is closed once the agent has sent a load report
+// on its current control stream.
 func (u *Upstream) Known() <-chan struct{} {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.known
 }
 
-// Incarnation returns the number of the agent's process, 0 if unknown.
+// Incarnation returns the incarnation of the agent's process, 0 if unknown.
 func (u *Upstream) Incarnation() uint64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.load.GetIncarnation()
 }
 
-// Clock returns the least that the agent's own clock can show at now: what it
-// last said and the time since that was heard. It errs towards early, which
-// makes an offer void sooner and never later.
+// Clock returns a lower bound of the agent's own clock at now: the last reported
+// value plus the time since the report arrived. Because it is a lower bound, an
+// offer may expire too early but never too late.
 func (u *Upstream) Clock(now time.Time) (uint64, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -163,24 +163,25 @@
 	return u.load.GetClockMs() + uint64(max(now.Sub(u.loadAt), 0).Milliseconds()), true
 }
 
-// Sent notes work sent there, to correct the last report.
+// Sent records work that was sent to the upstream, as a correction of the last
+// load report.
 func (u *Upstream) Sent(now time.Time, work time.Duration, prefix uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sent = append(u.sent, sentWork{at: now, work: work, prefix: prefix})
 }
 
-// Failed notes that the agent could not be reached.
+// Failed records that the agent was unreachable.
 func (u *Upstream) Failed(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	pause := min(failedFor<<min(u.failures, 8), failedMost)
+	backoff := min(minFailureBackoff<<min(u.failures, 8), maxFailureBackoff)
 	u.failures++
-	u.failedUntil = now.Add(pause)
+	u.failedUntil = now.Add(backoff)
 }
 
-// Available tells whether an offer is worth making: the agent is not leaving,
-// not blocked, and was not found unreachable a moment ago.
+// Available reports whether offers can be sent: the agent is neither leaving nor
+// blocked, and was not recently unreachable.
 func (u *Upstream) Available(now time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -191,22 +192,23 @@
 	return u.lost || !forbidden
 }
 
-// Leaving tells whether the upstream is known to be leaving.
+// Leaving reports whether the upstream is known to be leaving.
 func (u *Upstream) Leaving() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.listed == vmlist.Leaving || !u.lost && u.load.GetLeaving()
 }
 
-// Connected tells whether the agent has spoken on a conversation that goes on.
+// Connected reports whether the agent has sent a load report on a control stream
+// that is still open.
 func (u *Upstream) Connected() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.load != nil && !u.lost
 }
 
-// Holds tells whether the upstream's cache probably holds the prefix: its
-// agent said so, or this entry sent it there since.
+// Holds reports whether the upstream's cache probably contains the prefix: its
+// agent reported so, or this entry has sent it there since.
 func (u *Upstream) Holds(prefix uint64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -216,22 +218,22 @@
 	return slices.ContainsFunc(u.sent, func(s sentWork) bool { return s.prefix == prefix })
 }
 
-// Listed returns what the platform's list says of the upstream.
+// Listed returns the state of the upstream's VM in the platform's list.
 func (u *Upstream) Listed() vmlist.State {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.listed
 }
 
-// Load returns the last report, or nil.
+// Load returns the last load report, or nil.
 func (u *Upstream) Load() *wire.Load {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.load
 }
 
-// View returns what the index needs, for a request of the tier. The speed is 0
-// while none was measured.
+// View returns the input of the index for a request of the tier. The speed is 0
+// until one was measured.
 func (u *Upstream) View(now time.Time, tier int) index.View {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -243,18 +245,18 @@
 			wait := time.Duration(waits[min(tier, len(waits)-1)]) * time.Millisecond
 			v.Backlog = max(0, wait-now.Sub(u.loadAt)) * time.Duration(v.Slots)
 		}
-		for above, waiting := range u.load.GetWaiting() {
-			if above <= tier {
+		for waitingTier, waiting := range u.load.GetWaiting() {
+			if waitingTier <= tier {
 				v.Jobs += int(waiting)
 			}
 		}
 		if gap := u.load.GetTokenGapUs(); gap > 0 {
-			v.Speed = float64(referenceGap.Microseconds()) / float64(gap)
+			v.Speed = float64(referenceTokenInterval.Microseconds()) / float64(gap)
 		}
 	}
 	kept := u.sent[:0]
 	for _, s := range u.sent {
-		if now.Sub(s.at) > correctionFor {
+		if now.Sub(s.at) > sentWorkLifetime {
 			continue
 		}
 		kept = append(kept, s)
@@ -265,7 +267,8 @@
 	return v
 }
 
-// Group is the upstreams of one service and version, in the order of the list.
+// Group holds the upstreams of one service and version, in the order of the
+// list.
 type Group struct {
 	upstreams []*Upstream
 	members   []candidate.Member
@@ -274,10 +277,10 @@
 // Len returns the number of upstreams.
 func (g *Group) Len() int { return len(g.upstreams) }
 
-// At returns one upstream.
+// At returns the i-th upstream.
 func (g *Group) At(i int) *Upstream { return g.upstreams[i] }
 
-// Members returns the upstreams as hashing sees them.
+// Members returns the upstreams in the form that candidate selection uses.
 func (g *Group) Members() []candidate.Member { return g.members }
 
 type groupKey struct{ service, version string }
@@ -296,8 +299,9 @@
 	return &Table{byName: make(map[string]*Upstream), groups: make(map[groupKey]*Group)}
 }
 
-// Replace takes a new list. An upstream that stands at the same address keeps
-// what is known of it. Those gone are returned, so that links can be dropped.
+// Replace applies a new list. The state of an upstream with an unchanged address
+// and version is retained. It returns the upstreams that no longer exist or have
+// another address, so that their links can be dropped.
 func (t *Table) Replace(vms []vmlist.VM) []*Upstream {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -309,7 +313,7 @@
 			t.entries = append(t.entries, vm)
 			continue
 		}
-		u := t.keep(vm)
+		u := t.reuseOrCreate(vm)
 		byName[vm.Upstream()] = u
 		byAddress[vm.Address()] = u
 		key := groupKey{vm.Service(), vm.Version()}
@@ -329,7 +333,7 @@
 	return gone
 }
 
-func (t *Table) keep(vm vmlist.VM) *Upstream {
+func (t *Table) reuseOrCreate(vm vmlist.VM) *Upstream {
 	known := t.byName[vm.Upstream()]
 	if known == nil || known.Address() != vm.Address() || known.Version() != vm.Version() {
 		return newUpstream(vm)
@@ -340,14 +344,14 @@
 	return known
 }
 
-// Group returns the upstreams of a service and version; it may be nil.
+// Group returns the upstreams of a service and version, nil if there are none.
 func (t *Table) Group(service, version string) *Group {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.groups[groupKey{service, version}]
 }
 
-// Upstream returns one upstream by name.
+// Upstream returns an upstream by name.
 func (t *Table) Upstream(name string) (*Upstream, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -355,7 +359,7 @@
 	return u, ok
 }
 
-// AtAddress returns the upstream whose agent listens there.
+// AtAddress returns the upstream whose agent listens at the address.
 func (t *Table) AtAddress(address string) (*Upstream, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/platform/lease/lease.go
+++ b/internal/platform/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease holds one key of the platform's store for as long as its
-// session is renewed. A lease only decides who should act; whether an act
-// still counts is decided by compare-and-swap where it is written down.
+// Package lease holds keys of the platform's store under a session that is
+// renewed periodically. A lease only selects the process that should act;
+// whether its action takes effect is decided by compare-and-swap on the data
+// that it writes.
 package lease
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/platform/store"
 )
 
-// Store is what a lease needs of the platform's service.
+// Store is the subset of the platform's store that leases use.
 type Store interface {
 	CreateSession(ctx context.Context, name string, ttl time.Duration) (string, error)
 	RenewSession(ctx context.Context, session string) (bool, error)
@@ -21,15 +22,15 @@
 	Get(ctx context.Context, priority store.Priority, key string) (store.Entry, error)
 }
 
-// renewShare is the share of the term after which a lease is renewed; a third
-// leaves room for two lost attempts.
-const renewShare = 3
+// renewalsPerTTL is the number of renewals per TTL; three allow for two lost
+// attempts.
+const renewalsPerTTL = 3
 
-// Holder keeps one session and the keys acquired under it.
+// Holder maintains one session and the keys acquired under it.
 type Holder struct {
 	store  Store
 	name   string
-	term   time.Duration
+	ttl    time.Duration
 	logger *slog.Logger
 	now    func() time.Time
 
@@ -42,18 +43,18 @@
 	done   chan struct{}
 }
 
-// New starts a holder that keeps a session of the given term.
-func New(s Store, name string, term time.Duration, logger *slog.Logger, now func() time.Time) *Holder {
+// New starts a holder that maintains a session with the given TTL.
+func New(s Store, name string, ttl time.Duration, logger *slog.Logger, now func() time.Time) *Holder {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &Holder{store: s, name: name, term: term, logger: logger, now: now, fences: make(map[string]uint64), cancel: cancel, done: make(chan struct{})}
-	go h.keep(ctx)
+	h := &Holder{store: s, name: name, ttl: ttl, logger: logger, now: now, fences: make(map[string]uint64), cancel: cancel, done: make(chan struct{})}
+	go h.renewLoop(ctx)
 	return h
 }
 
-func (h *Holder) keep(ctx context.Context) {
+func (h *Holder) renewLoop(ctx context.Context) {
 	defer close(h.done)
 	for failures := 0; ctx.Err() == nil; {
-		pause := h.term / renewShare
+		pause := h.ttl / renewalsPerTTL
 		if err := h.renew(ctx); err != nil {
 			pause = min(pause, store.Backoff(failures, pause))
 			failures++
@@ -67,42 +68,42 @@
 	}
 }
 
-// renew keeps or opens the session. The term is counted from before the call:
-// a holder that was paused in the midst of it must not believe it holds
-// longer than the service does.
+// renew renews or creates the session. The TTL is counted from before the call:
+// a holder that was paused during the call must not assume that it holds the
+// lease for longer than the store does.
 func (h *Holder) renew(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, h.term/renewShare)
+	ctx, cancel := context.WithTimeout(ctx, h.ttl/renewalsPerTTL)
 	defer cancel()
-	asked := h.now()
+	requestedAt := h.now()
 	session := h.Session()
 	if session != "" {
-		kept, err := h.store.RenewSession(ctx, session)
+		renewed, err := h.store.RenewSession(ctx, session)
 		if err != nil {
 			return err
 		}
-		if kept {
-			h.extend(session, asked)
+		if renewed {
+			h.extend(session, requestedAt)
 			return nil
 		}
 		h.logger.Warn("lease lost", "holder", h.name, "session", session)
-		h.forget()
+		h.reset()
 	}
-	session, err := h.store.CreateSession(ctx, h.name, h.term)
+	session, err := h.store.CreateSession(ctx, h.name, h.ttl)
 	if err != nil {
 		return err
 	}
-	h.extend(session, asked)
+	h.extend(session, requestedAt)
 	return nil
 }
 
-func (h *Holder) extend(session string, asked time.Time) {
+func (h *Holder) extend(session string, requestedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.session = session
-	h.until = asked.Add(h.term)
+	h.until = requestedAt.Add(h.ttl)
 }
 
-func (h *Holder) forget() {
+func (h *Holder) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.session = ""
@@ -110,29 +111,30 @@
 	clear(h.fences)
 }
 
-// Session returns the current session, or none.
+// Session returns the current session, or "" if there is none.
 func (h *Holder) Session() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.session
 }
 
-// Held tells whether the key is held at now, by this holder's own reckoning.
+// Held reports whether the key is held at now, by this holder's own clock.
 func (h *Holder) Held(now time.Time, key string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fences[key] > 0 && now.Before(h.until)
 }
 
-// Fence returns the fencing number of a held key: it rises with each change
-// of holder.
+// Fence returns the fencing token of a held key, which increases with each
+// change of holder.
 func (h *Holder) Fence(key string) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fences[key]
 }
 
-// TryAcquire takes the key if nobody holds it and tells whether it is held.
+// TryAcquire acquires the key if no other session holds it, and reports whether
+// this holder holds it.
 func (h *Holder) TryAcquire(ctx context.Context, key string, value []byte) (bool, error) {
 	session := h.Session()
 	if session == "" {
@@ -141,8 +143,8 @@
 	if h.Held(h.now(), key) {
 		return true, nil
 	}
-	took, err := h.store.Acquire(ctx, key, session, value)
-	if err != nil || !took {
+	acquired, err := h.store.Acquire(ctx, key, session, value)
+	if err != nil || !acquired {
 		return false, err
 	}
 	entry, err := h.store.Get(ctx, store.Watches, key)
@@ -158,19 +160,20 @@
 	return true, nil
 }
 
-// Abandon ends the renewal without giving anything up, as a process that dies
-// does, and waits.
+// Abandon stops the renewal without releasing any key, as a crash would, and
+// waits for its goroutine to end.
 func (h *Holder) Abandon() {
 	h.cancel()
 	<-h.done
 }
 
-// Close gives all keys up and waits for the renewal to end.
+// Close stops the renewal, waits for its goroutine to end, and releases all
+// keys.
 func (h *Holder) Close() error {
 	h.cancel()
 	<-h.done
 	session := h.Session()
-	h.forget()
+	h.reset()
 	if session == "" {
 		return nil
 	}
--- a/internal/platform/store/store.go
+++ b/internal/platform/store/store.go
@@ -1,7 +1,7 @@
-// Package store speaks to the platform's key-value service: get, list,
-// compare-and-swap, blocking reads and sessions, in the published shape of
-// Consul's KV and session endpoints. It keeps nothing and coordinates nothing
-// itself; it tells an answer that was lost apart from a refusal.
+// Package store is a client of the platform's key-value store: get, list,
+// compare-and-swap, blocking reads and sessions, by the published API of
+// Consul's KV and session endpoints. It has no cache and no coordination of its
+// own. Its errors distinguish a lost response from a call without effect.
 package store
 
 import (
@@ -30,19 +30,20 @@
 
 // Errors of this package.
 var (
-	// Unavailable: the call had no effect; try again later.
+	// Unavailable means that the call had no effect and may be repeated later.
 	Unavailable = namespace.NewType("unavailable")
-	// Unclear: a write may have taken effect although no answer came; read
-	// the key back before acting on either outcome.
+	// Unclear means that a write may have taken effect although no response
+	// arrived; the caller has to read the key before it assumes either outcome.
 	Unclear = namespace.NewType("unclear")
-	// Throttled: this process has used its share of calls.
+	// Throttled means that this process has used up its rate limit.
 	Throttled = namespace.NewType("throttled")
 )
 
-// Priority orders a process's own calls when its share runs short.
+// Priority determines which calls of a process are rejected first at its rate
+// limit.
 type Priority int
 
-// The priorities, most urgent first.
+// The priorities, highest first.
 const (
 	Claims Priority = iota
 	Watches
@@ -50,24 +51,25 @@
 )
 
 const (
-	// callsPerSecond and callBurst are one process's share of the service, for
-	// all but claims, which limit themselves by their commit rate.
+	// callsPerSecond and callBurst are the rate limit of one process for all
+	// calls except claims, which are limited by their commit rate.
 	callsPerSecond = 20
 	callBurst      = 40
-	// operatorCalls is the share of an operator's command.
-	operatorCalls = 200
-	// callTimeout bounds a call that does not block on purpose.
+	// operatorCallsPerSecond is the rate limit of an operator's command.
+	operatorCallsPerSecond = 200
+	// callTimeout bounds a call other than a blocking read.
 	callTimeout = 2 * time.Second
-	// watchSlack is the time allowed beyond a blocking read's wait.
-	watchSlack = 3 * time.Second
-	// maxValue is the largest value the service holds.
-	maxValue = 1 << 20
+	// watchGrace is the time allowed for a blocking read beyond its wait.
+	watchGrace = 3 * time.Second
+	// maxValueBytes is the largest value that the store accepts.
+	maxValueBytes = 1 << 20
 )
 
-// housekeepingReserve leaves the last part of the burst to the more urgent.
+// housekeepingReserve is the share of the burst that housekeeping must leave to
+// calls of higher priority.
 const housekeepingReserve = 0.5
 
-// Entry is one key's value as the service holds it.
+// Entry is a key with its value and metadata in the store.
 type Entry struct {
 	key     string
 	value   []byte
@@ -81,17 +83,17 @@
 // Value returns the value.
 func (e Entry) Value() []byte { return e.value }
 
-// Index returns the modification index, to be used in compare-and-swap. It is
-// 0 for a key that does not exist.
+// Index returns the modification index for compare-and-swap. It is 0 for a key
+// that does not exist.
 func (e Entry) Index() uint64 { return e.index }
 
 // Session returns the session that holds the key, if any.
 func (e Entry) Session() string { return e.session }
 
-// Exists tells whether the key exists.
+// Exists reports whether the key exists.
 func (e Entry) Exists() bool { return e.index > 0 }
 
-// Account counts a process's own calls on the service.
+// Account counts the calls of a client.
 type Account struct {
 	reads, writes, failures, throttled, bytes atomic.Uint64
 }
@@ -102,21 +104,22 @@
 // Writes returns the number of writes sent.
 func (a *Account) Writes() uint64 { return a.writes.Load() }
 
-// Failures returns the number of calls without a usable answer.
+// Failures returns the number of calls without a valid response.
 func (a *Account) Failures() uint64 { return a.failures.Load() }
 
-// Throttled returns the number of calls this process kept to itself.
+// Throttled returns the number of calls rejected by this process's rate limit.
 func (a *Account) Throttled() uint64 { return a.throttled.Load() }
 
-// Bytes returns the bytes of all answers.
+// Bytes returns the total size of all responses.
 func (a *Account) Bytes() uint64 { return a.bytes.Load() }
 
-// Dialer opens connections to the service.
+// Dialer opens connections to the store.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client speaks to one of several addresses of the service.
+// Client calls the store at one of several addresses. After a failed call it
+// changes to the next address.
 type Client struct {
 	addresses []string
 	http      *http.Client
@@ -127,8 +130,8 @@
 	now       func() time.Time
 }
 
-// New returns a client for the service at the addresses, such as
-// "http://127.0.0.1:8500". Now is the clock that paces its calls.
+// New returns a client for the store at the addresses, such as
+// "http://127.0.0.1:8500". The rate limit uses the clock now.
 func New(addresses []string, now func() time.Time, dialer Dialer, options ...Option) *Client {
 	transport := &http.Transport{
 		DialContext:         dialer.DialContext,
@@ -149,17 +152,19 @@
 	return c
 }
 
-// Option changes a client.
+// Option configures a client.
 type Option func(*Client)
 
-// ForOperator gives the client an operator's share of calls: one person at a
-// keyboard, and not a fleet of nodes.
+// ForOperator gives the client the higher rate limit of an operator's command,
+// as there are far fewer operators than nodes.
 func ForOperator() Option {
-	return func(c *Client) { c.calls, c.burst = budget.New(operatorCalls, operatorCalls), operatorCalls }
+	return func(c *Client) {
+		c.calls, c.burst = budget.New(operatorCallsPerSecond, operatorCallsPerSecond), operatorCallsPerSecond
+	}
 }
 
-// allowed draws on the process's share. Claims always may: there are few, and
-// someone waits for each.
+// allowed applies the rate limit. Claims are exempt: they are few, and a caller
+// waits for each of them.
 func (c *Client) allowed(priority Priority) bool {
 	switch priority {
 	case Claims:
@@ -170,35 +175,37 @@
 	return c.calls.Take(c.now(), 1, 0)
 }
 
-// Account returns the count of the client's own calls.
+// Account returns the counters of the client's calls.
 func (c *Client) Account() *Account { return c.account }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() error {
 	c.http.CloseIdleConnections()
 	return nil
 }
 
-// Get reads one key; a key that does not exist is an Entry without index.
+// Get reads one key. For a key that does not exist it returns an Entry with
+// index 0.
 func (c *Client) Get(ctx context.Context, priority Priority, key string) (Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entries, err := c.read(ctx, priority, key, nil)
-	return first(key, entries), err
+	return firstEntry(key, entries), err
 }
 
-// Watch reads a key once its index differs from after, or after wait.
+// Watch waits until the key's index differs from after, at most for wait, and
+// reads the key.
 func (c *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Entry, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
 	defer cancel()
 	query := url.Values{}
 	query.Set("index", strconv.FormatUint(after, 10))
 	query.Set("wait", fmt.Sprintf("%dms", wait.Milliseconds()))
 	entries, err := c.read(ctx, Watches, key, query)
-	return first(key, entries), err
+	return firstEntry(key, entries), err
 }
 
-// List reads all keys under a prefix, in order.
+// List reads all keys with a prefix, in order.
 func (c *Client) List(ctx context.Context, priority Priority, prefix string) ([]Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -206,10 +213,11 @@
 }
 
 // Swap writes a value if the key still has the index; index 0 creates the key
-// if it is absent. An Unclear error means the write may have taken effect.
+// if it does not exist. An Unclear error means that the write may have taken
+// effect.
 func (c *Client) Swap(ctx context.Context, priority Priority, key string, value []byte, index uint64) (bool, error) {
-	if len(value) > maxValue {
-		return false, Unavailable.New("the value of %s has %d bytes, the service holds %d; split it", key, len(value), maxValue)
+	if len(value) > maxValueBytes {
+		return false, Unavailable.New("value of %s has %d bytes, more than the store's limit of %d; split it", key, len(value), maxValueBytes)
 	}
 	return c.put(ctx, priority, "/v1/kv/"+key, url.Values{"cas": {strconv.FormatUint(index, 10)}}, value)
 }
@@ -220,7 +228,7 @@
 	return c.send(ctx, Housekeeping, http.MethodDelete, "/v1/kv/"+key, query, nil)
 }
 
-// Acquire writes a value and takes the key for a session.
+// Acquire writes a value and locks the key for a session.
 func (c *Client) Acquire(ctx context.Context, key, session string, value []byte) (bool, error) {
 	return c.put(ctx, Watches, "/v1/kv/"+key, url.Values{"acquire": {session}}, value)
 }
@@ -232,8 +240,8 @@
 	LockDelay string `json:"LockDelay"`
 }
 
-// CreateSession opens a session that lapses after ttl without renewal and then
-// releases its keys.
+// CreateSession creates a session that expires after ttl without renewal and
+// then releases its keys.
 func (c *Client) CreateSession(ctx context.Context, name string, ttl time.Duration) (string, error) {
 	body, err := json.Marshal(sessionRequest{Name: name, TTL: ttl.String(), Behavior: "release", LockDelay: "0s"})
 	if err != nil {
@@ -245,18 +253,18 @@
 	}
 	var created struct{ ID string }
 	if err := json.Unmarshal(answer.body, &created); err != nil || created.ID == "" {
-		return "", Unclear.New("the service answered no session id; create another")
+		return "", Unclear.New("response of the store contains no session id; create another session")
 	}
 	return created.ID, nil
 }
 
-// RenewSession keeps a session; false means that it has lapsed.
+// RenewSession renews a session. It returns false if the session has expired.
 func (c *Client) RenewSession(ctx context.Context, session string) (bool, error) {
 	answer, err := c.call(ctx, Watches, http.MethodPut, "/v1/session/renew/"+session, nil, nil)
 	return answer.status == http.StatusOK, err
 }
 
-// DestroySession ends a session at once.
+// DestroySession ends a session and releases its keys.
 func (c *Client) DestroySession(ctx context.Context, session string) error {
 	_, err := c.call(ctx, Watches, http.MethodPut, "/v1/session/destroy/"+session, nil, nil)
 	return err
@@ -282,13 +290,13 @@
 	}
 	var raw []wireEntry
 	if err := json.Unmarshal(answer.body, &raw); err != nil {
-		return nil, Unavailable.Wrap(err, "the service's answer for %s makes no sense; try again", key)
+		return nil, Unavailable.Wrap(err, "response of the store for %s cannot be decoded; try again", key)
 	}
 	entries := make([]Entry, 0, len(raw))
 	for _, r := range raw {
 		value, err := base64.StdEncoding.DecodeString(r.Value)
 		if err != nil {
-			return nil, Unavailable.Wrap(err, "the service's value of %s makes no sense; try again", r.Key)
+			return nil, Unavailable.Wrap(err, "value of %s in the store's response is not base64; try again", r.Key)
 		}
 		entries = append(entries, Entry{key: r.Key, value: value, index: r.ModifyIndex, session: r.Session})
 	}
@@ -315,7 +323,7 @@
 func (c *Client) call(ctx context.Context, priority Priority, method, path string, query url.Values, body []byte) (reply, error) {
 	if !c.allowed(priority) {
 		c.account.throttled.Add(1)
-		return reply{}, Throttled.New("this process has used its share of calls on the service; wait a second")
+		return reply{}, Throttled.New("rate limit of this process for calls to the store is used up; wait a second")
 	}
 	if method == http.MethodGet {
 		c.account.reads.Add(1)
@@ -341,34 +349,34 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, Unavailable.Wrap(err, "the service's address %s makes no sense; correct store-addresses", address)
+		return reply{}, Unavailable.Wrap(err, "invalid address %s of the store; correct store-addresses", address)
 	}
-	// Without GetBody the transport cannot send a write a second time on its
-	// own, so one call is at most one write.
+	// Without GetBody the transport cannot repeat a write by itself, so one call
+	// causes at most one write.
 	request.GetBody = nil
 	response, err := c.http.Do(request)
 	if err != nil {
-		return reply{}, classify(err, address)
+		return reply{}, classifyError(err, address)
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, 64*maxValue))
+	content, err := io.ReadAll(io.LimitReader(response.Body, 64*maxValueBytes))
 	if err != nil {
-		return reply{}, Unclear.Wrap(err, "the service's answer broke off; read the key back")
+		return reply{}, Unclear.Wrap(err, "response of the store ended early; read the key back")
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return reply{}, Unclear.New("the service answered %d; read the key back", response.StatusCode)
+		return reply{}, Unclear.New("store answered with status %d; read the key back", response.StatusCode)
 	}
 	return reply{status: response.StatusCode, body: content}, nil
 }
 
-// classify tells a connection that was never made, which proves that nothing
-// was written, from an answer that was lost.
-func classify(err error, address string) error {
+// classifyError distinguishes a failure to connect, which proves that nothing was
+// written, from a lost response.
+func classifyError(err error, address string) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return Unavailable.Wrap(err, "the service at %s cannot be reached; try again later", address)
+		return Unavailable.Wrap(err, "store at %s unreachable; try again later", address)
 	}
-	return Unclear.Wrap(err, "no answer from the service at %s; read the key back", address)
+	return Unclear.Wrap(err, "no response from the store at %s; read the key back", address)
 }
 
 func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
@@ -378,18 +386,18 @@
 	return context.WithTimeout(ctx, callTimeout)
 }
 
-func first(key string, entries []Entry) Entry {
+func firstEntry(key string, entries []Entry) Entry {
 	if len(entries) == 0 {
 		return Entry{key: key}
 	}
 	return entries[0]
 }
 
-// Backoff returns how long to wait before attempt n (from 0): exponential from
-// a tenth of a second to most, with full jitter so that nodes that failed
-// together do not come back together.
-func Backoff(attempt int, most time.Duration) time.Duration {
+// Backoff returns the delay after the given number of failed attempts: it grows
+// exponentially from 100 ms to limit, with a jitter down to a quarter, so that
+// nodes that failed at the same time do not retry at the same time.
+func Backoff(attempt int, limit time.Duration) time.Duration {
 	const base = 100 * time.Millisecond
-	ceiling := min(most, base<<min(attempt, 16))
+	ceiling := min(limit, base<<min(attempt, 16))
 	return ceiling/4 + rand.N(ceiling*3/4+1)
 }
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -1,7 +1,8 @@
-// Package agent is the process beside one upstream. All traffic to the
-// upstream meets here, so here is where tiers mean something: the agent
-// admits, dispatches once, keeps the answer until it is delivered, and holds
-// the evidence on its own version. It never chooses for other upstreams.
+// Package agent implements the process that runs next to one upstream. As all
+// traffic to the upstream passes through it, it enforces tiers: it admits
+// requests, dispatches each at most once, buffers the response until it is
+// delivered, and collects evidence on its upstream's version. It makes no
+// decisions for other upstreams.
 package agent
 
 import (
@@ -28,23 +29,23 @@
 )
 
 const (
-	// tickEvery is how often start-by moments and ages are looked at.
-	tickEvery = 50 * time.Millisecond
-	// sweepEvery is how often the remembered ids are gone through.
-	sweepEvery = 10 * time.Second
-	// tiersHeld is the number of tiers that an agent tells apart.
-	tiersHeld = 8
-	// waitingBound is the number of requests that may wait.
-	waitingBound = 256
-	// dialTimeout bounds a connection to the upstream on the same VM.
+	// tickInterval is how often start deadlines and the age of runs are checked.
+	tickInterval = 50 * time.Millisecond
+	// sweepInterval is how often expired request ids are removed.
+	sweepInterval = 10 * time.Second
+	// maxTiers is the number of tiers that an agent distinguishes.
+	maxTiers = 8
+	// maxWaiting is the maximum number of queued requests.
+	maxWaiting = 256
+	// dialTimeout bounds the dialing of the upstream, which is on the same VM.
 	dialTimeout = 500 * time.Millisecond
-	// pollEvery is how often the engine's load report is read.
-	pollEvery = time.Second
-	// probeEvery is how often a down upstream is tried.
-	probeEvery = 200 * time.Millisecond
+	// loadPollInterval is how often the engine's load report is read.
+	loadPollInterval = time.Second
+	// probeInterval is how often an unreachable upstream is probed.
+	probeInterval = 200 * time.Millisecond
 )
 
-// Agent is one running agent.
+// Agent is a running agent process.
 type Agent struct {
 	settings    settings.Agent
 	logger      *slog.Logger
@@ -68,23 +69,23 @@
 	cached    *prefixcache.Guess
 	runs      map[string]*run
 	withdrawn map[string]time.Time
-	// dispatched maps a request to when its dispatch may be forgotten.
-	dispatched map[string]time.Time
-	board      *evidence.Board
-	boardOf    string
-	brakeWatch *evidence.Brake
-	swept      time.Time
-	crashes    uint64
-	crashedAt  time.Time
-	probing    bool
-	counts     Counts
+	// dispatched maps a request id to the time when its dispatch record expires.
+	dispatched   map[string]time.Time
+	board        *evidence.Board
+	boardRollout string
+	versionBrake *evidence.Brake
+	lastSweep    time.Time
+	crashes      uint64
+	crashedAt    time.Time
+	probing      bool
+	counts       Counts
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
-// Counts is what an agent did so far.
+// Counts holds the agent's event counters since its start.
 type Counts struct {
 	Offers     uint64 `json:"offers"`
 	Dispatched uint64 `json:"dispatched"`
@@ -93,13 +94,13 @@
 	Crashes    uint64 `json:"crashes"`
 }
 
-// Option changes an agent for tests and trials.
+// Option configures an agent for tests and simulations.
 type Option func(*Agent)
 
-// WithInvariants uses the recorder.
+// WithInvariants sets the recorder of invariant violations.
 func WithInvariants(r *invariant.Recorder) Option { return func(a *Agent) { a.invariants = r } }
 
-// WithDialer uses the dialer towards the upstream.
+// WithDialer sets the dialer for the upstream.
 func WithDialer(d engine.Dialer) Option { return func(a *Agent) { a.dialer = d } }
 
 // New starts an agent that serves entries on the listener. Incarnation must
@@ -107,25 +108,25 @@
 func New(s settings.Agent, listener net.Listener, incarnation uint64, logger *slog.Logger, now func() time.Time, options ...Option) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &Agent{
-		settings:    s,
-		logger:      logger,
-		now:         now,
-		incarnation: incarnation,
-		startedAt:   now(),
-		dialer:      &net.Dialer{Timeout: dialTimeout},
-		suspects:    suspect.New(),
-		changed:     control.NewSignal(),
-		evidence:    control.NewSignal(),
-		forecast:    forecast.New(),
-		limit:       limit.New(limit.NewTargets(s.TokenGap(), s.FirstToken()), firstLimit(s), 1, s.MaxLimit()),
-		cached:      prefixcache.New(),
-		runs:        make(map[string]*run),
-		withdrawn:   make(map[string]time.Time),
-		dispatched:  make(map[string]time.Time),
-		board:       evidence.NewBoard(),
-		brakeWatch:  evidence.NewBrake(),
-		ctx:         ctx,
-		cancel:      cancel,
+		settings:     s,
+		logger:       logger,
+		now:          now,
+		incarnation:  incarnation,
+		startedAt:    now(),
+		dialer:       &net.Dialer{Timeout: dialTimeout},
+		suspects:     suspect.New(),
+		changed:      control.NewSignal(),
+		evidence:     control.NewSignal(),
+		forecast:     forecast.New(),
+		limit:        limit.New(limit.NewTargets(s.TokenGap(), s.FirstToken()), firstLimit(s), 1, s.MaxLimit()),
+		cached:       prefixcache.New(),
+		runs:         make(map[string]*run),
+		withdrawn:    make(map[string]time.Time),
+		dispatched:   make(map[string]time.Time),
+		board:        evidence.NewBoard(),
+		versionBrake: evidence.NewBrake(),
+		ctx:          ctx,
+		cancel:       cancel,
 	}
 	for _, option := range options {
 		option(a)
@@ -135,7 +136,7 @@
 	}
 	a.engine = engine.New(s.UpstreamURL(), now, a.dialer)
 	a.log = changelog.New(a.invariants)
-	a.admission = admission.New(tiersHeld, firstLimit(s), waitingBound, a.invariants)
+	a.admission = admission.New(maxTiers, firstLimit(s), maxWaiting, a.invariants)
 	a.peer = control.NewPeer(a.log, a.suspects, a.changed, now, control.Describe(a.describe), control.Evidence(a.evidence))
 	a.server = link.Serve(listener, a.serveStream)
 	a.wg.Go(a.tick)
@@ -146,8 +147,8 @@
 	return a
 }
 
-// firstLimit is where the limit starts. A plain service streams no tokens from
-// which a limit could be found, so it has its highest from the start.
+// firstLimit returns the initial concurrency limit. A plain service streams no
+// tokens from which a limit could be derived, so it starts with its maximum.
 func firstLimit(s settings.Agent) int {
 	if s.Plain() {
 		return s.MaxLimit()
@@ -158,10 +159,10 @@
 // Addr returns the address served.
 func (a *Agent) Addr() string { return a.server.Addr() }
 
-// Incarnation returns the number of this process.
+// Incarnation returns the incarnation number of this process.
 func (a *Agent) Incarnation() uint64 { return a.incarnation }
 
-// Counts returns what the agent did so far.
+// Counts returns the agent's event counters.
 func (a *Agent) Counts() Counts {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -171,14 +172,14 @@
 // Revision returns the configuration revision in force here.
 func (a *Agent) Revision() uint64 { return a.log.Revision() }
 
-// Load returns what the agent tells of its upstream.
+// Load returns the current load report of the upstream.
 func (a *Agent) Load() *wire.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.load(a.now())
 }
 
-// load builds the report; the caller holds the lock.
+// load builds the load report. The caller holds the lock.
 func (a *Agent) load(now time.Time) *wire.Load {
 	l := &wire.Load{
 		Incarnation: a.incarnation,
@@ -200,20 +201,21 @@
 	return l
 }
 
-// clock returns the agent's own time, on which offers are void after a moment.
+// clock returns the agent's own time in milliseconds, by which offers expire.
 func (a *Agent) clock(now time.Time) uint64 { return uint64(now.Sub(a.startedAt).Milliseconds()) }
 
-// tiers returns the number of tiers that the rules name, or those held while
-// no rules are known.
+// tiers returns the number of tiers in the rules, or maxTiers while no rules
+// are known.
 func (a *Agent) tiers() int {
 	doc, revision := a.log.Current()
 	if revision == 0 {
-		return tiersHeld
+		return maxTiers
 	}
-	return min(len(doc.Rules().Tiers()), tiersHeld)
+	return min(len(doc.Rules().Tiers()), maxTiers)
 }
 
-// apply carries decisions out; the caller holds the lock.
+// apply carries out decisions of the admission controller. The caller holds the
+// lock.
 func (a *Agent) apply(now time.Time, effects []admission.Effect) {
 	for _, effect := range effects {
 		r := a.runs[effect.ID()]
@@ -234,7 +236,7 @@
 }
 
 func (a *Agent) decline(now time.Time, r *run, reason wire.Decline_Reason) {
-	a.invariants.Check(!r.started, invariant.NotRunIsTrue, r.id(), "declined after its dispatch")
+	a.invariants.Check(!r.started, invariant.NotRunIsTrue, r.id(), "declined after dispatch")
 	a.counts.Declined++
 	r.notRun = reason
 	r.endedAt = now
@@ -242,14 +244,14 @@
 	close(r.decided)
 }
 
-// begin records the dispatch before the first byte is sent: from here on "not
-// run" may no longer be said.
+// begin records the dispatch before the first byte is sent. After that the
+// request must not be reported as not run.
 func (a *Agent) begin(now time.Time, r *run) {
 	_, before := a.dispatched[r.id()]
-	a.invariants.Check(!before, invariant.OneDispatch, r.id(), "dispatched a second time")
-	a.dispatched[r.id()] = now.Add(keyedAfterEnd)
+	a.invariants.Check(!before, invariant.OneDispatch, r.id(), "dispatched twice")
+	a.dispatched[r.id()] = now.Add(keyedRunRetention)
 	if r.offer.GetKeyed() {
-		a.dispatched[r.id()] = now.Add(keyedDispatched)
+		a.dispatched[r.id()] = now.Add(keyedDispatchRetention)
 	}
 	a.counts.Dispatched++
 	if r.offer.GetPrefixTokens() > 0 {
@@ -261,9 +263,9 @@
 	a.wg.Go(func() { a.execute(r) })
 }
 
-// poll reads the engine's own load report, for the size of its cache.
+// poll reads the engine's own load report for the size of its cache.
 func (a *Agent) poll() {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(loadPollInterval)
 	defer ticker.Stop()
 	for {
 		report, err := a.engine.Load(a.ctx)
@@ -281,7 +283,7 @@
 }
 
 func (a *Agent) tick() {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -301,9 +303,9 @@
 	}
 }
 
-// sweep gives up abandoned runs and forgets old ones; the caller holds the
-// lock. A run that may not be repeated is never canceled: it was dispatched
-// once and its outcome may still be asked for.
+// sweep ends abandoned and stalled runs and removes expired ones. The caller
+// holds the lock. An abandoned run that must not be repeated is not canceled:
+// it was dispatched, and its outcome may still be requested.
 func (a *Agent) sweep(now time.Time) {
 	for id, r := range a.runs {
 		switch {
@@ -313,35 +315,35 @@
 		case r.abandoned(now) && r.offer.GetRepeatSafe():
 			r.cancel()
 		case r.stalled(now) && !a.settings.Plain():
-			r.stall = true
+			r.stallDetected = true
 			r.cancel()
-		case r.forgettable(now):
+		case r.expired(now):
 			delete(a.runs, id)
 		}
 	}
-	if now.Sub(a.swept) < sweepEvery {
+	if now.Sub(a.lastSweep) < sweepInterval {
 		return
 	}
-	a.swept = now
-	forget(a.withdrawn, now)
-	forget(a.dispatched, now)
+	a.lastSweep = now
+	removeExpired(a.withdrawn, now)
+	removeExpired(a.dispatched, now)
 }
 
-func forget(until map[string]time.Time, now time.Time) {
-	for id, at := range until {
+func removeExpired(expiry map[string]time.Time, now time.Time) {
+	for id, at := range expiry {
 		if now.After(at) {
-			delete(until, id)
+			delete(expiry, id)
 		}
 	}
 }
 
-// describe adds the load to a notice, and the evidence, where it is wanted,
-// while this service has a move under way.
+// describe adds the load to a notice and, if the receiver wants it and a
+// rollout of this service is open, the evidence.
 func (a *Agent) describe(now time.Time, n *wire.Notice, wanted bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n.Load = a.load(now)
-	if _, moving := a.move(); !moving || !wanted {
+	if _, moving := a.openRollout(); !moving || !wanted {
 		return
 	}
 	version := a.settings.Version()
@@ -354,19 +356,19 @@
 	}
 }
 
-// Announce tells all linked entries the agent's present state.
+// Announce sends the agent's current state to all linked entries.
 func (a *Agent) Announce() { a.changed.Raise() }
 
-// Drain is a planned stop: no offers are taken, what waits is handed back as
-// not run, and what runs is finished and delivered. It returns when nothing
-// is left or the context ends.
+// Drain stops the agent gracefully: it declines new offers, hands back queued
+// requests as not run, and completes and delivers running ones. It returns when
+// none is left or the context ends.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.mu.Lock()
 	a.apply(a.now(), a.admission.Leave())
 	a.mu.Unlock()
 	a.changed.Raise()
-	a.logger.Info("agent leaving", "node", a.settings.Node(), "upstream", a.settings.Upstream())
-	ticker := time.NewTicker(tickEvery)
+	a.logger.Info("agent draining", "node", a.settings.Node(), "upstream", a.settings.Upstream())
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		if a.idle() {
@@ -391,7 +393,8 @@
 	return true
 }
 
-// Close stops at once and waits; see Drain for a stop that cuts nothing.
+// Close stops the agent immediately, canceling all runs, and waits for its
+// goroutines. Drain stops without canceling runs.
 func (a *Agent) Close() error {
 	a.cancel()
 	err := a.server.Close()
@@ -404,7 +407,8 @@
 	return err
 }
 
-// crashID names a crash of this upstream alike for all who learn of it.
+// crashID returns an id for a crash of this upstream that is the same for all
+// processes that are notified of it.
 func (a *Agent) crashID(count uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a.settings.Upstream()))
--- a/internal/role/agent/execute.go
+++ b/internal/role/agent/execute.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// crashWindow is how long after one run was cut the others are waited for:
-	// an upstream that dies cuts all at once.
+	// crashWindow is how long the agent waits, after one run lost its
+	// connection, for the others: an upstream that crashes drops all of them.
 	crashWindow = 200 * time.Millisecond
-	// spreadWindow is the time in which a crash is told to the fleet before its
-	// callers hear of it.
-	spreadWindow = 100 * time.Millisecond
-	// abandonedWindow is how long after its cancellation a run is still taken
-	// to have been there when the upstream died.
-	abandonedWindow = time.Second
-	// reforecastEvery is the number of tokens after which a run's expected
-	// work is estimated anew.
-	reforecastEvery = 16
+	// crashSpreadDelay is the time given to notify the fleet of a crash before
+	// the callers are told.
+	crashSpreadDelay = 100 * time.Millisecond
+	// canceledWindow is how long after its cancellation a run still counts as
+	// running when the upstream crashes.
+	canceledWindow = time.Second
+	// reforecastTokens is the number of tokens after which a run's expected
+	// work is estimated again.
+	reforecastTokens = 16
 )
 
-// execute runs one request on the upstream and settles its outcome.
+// execute runs one request on the upstream and records its outcome.
 func (a *Agent) execute(r *run) {
 	call := engine.NewCall(r.id(), r.offer.GetMethod(), r.offer.GetPath(), r.offer.GetHeaders(), r.offer.GetBody())
 	result := a.engine.Run(r.ctx, call, r.buffer, progress{agent: a, run: r})
@@ -34,24 +34,24 @@
 	if result.Cut() && a.upstreamDied(r) {
 		outcome = wire.End_OUTCOME_UPSTREAM_LOST
 	}
-	a.settle(r, result, outcome)
+	a.finish(r, result, outcome)
 }
 
-// settle ends the run: the outcome is decided here and nowhere else.
-func (a *Agent) settle(r *run, result engine.Result, outcome wire.End_Outcome) {
+// finish ends the run. It is the only place where the outcome is decided.
+func (a *Agent) finish(r *run, result engine.Result, outcome wire.End_Outcome) {
 	now := a.now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if outcome == wire.End_OUTCOME_CANCELED && r.preempted {
 		outcome = wire.End_OUTCOME_PREEMPTED
 	}
-	if outcome == wire.End_OUTCOME_CANCELED && r.stall {
+	if outcome == wire.End_OUTCOME_CANCELED && r.stallDetected {
 		outcome = wire.End_OUTCOME_FAILED
 	}
 	if !result.Sent() && outcome == wire.End_OUTCOME_FAILED {
 		r.notRun = wire.Decline_REASON_UNREACHABLE
-		if abandoned := a.abandonedLately(now); len(abandoned) > 0 {
-			a.crashed(now, abandoned)
+		if abandoned := a.recentlyCanceled(now); len(abandoned) > 0 {
+			a.recordCrash(now, abandoned)
 		}
 		a.block(now, wire.Decline_REASON_UNREACHABLE)
 	}
@@ -66,11 +66,11 @@
 	}
 }
 
-// observe feeds forecast and evidence; the caller holds the lock.
+// observe updates the forecast and the evidence. The caller holds the lock.
 func (a *Agent) observe(now time.Time, r *run, result engine.Result, outcome wire.End_Outcome) {
 	serverError := result.Status() >= http.StatusInternalServerError
-	// An entry that goes elsewhere after a server error cancels the rest of the
-	// run; the version failed all the same.
+	// An entry that retries elsewhere after a server error cancels the rest of
+	// the run; this still counts as a failure of the version.
 	canceled := outcome == wire.End_OUTCOME_CANCELED && !serverError
 	if canceled || outcome == wire.End_OUTCOME_PREEMPTED || r.notRun != wire.Decline_REASON_UNSPECIFIED {
 		return
@@ -82,28 +82,28 @@
 			a.suspects.Clear(r.offer.GetFingerprint())
 		}
 	}
-	a.startBoard()
-	a.board.Observe(a.settings.Version(), r.evidenceRoute(), failed, perToken(now.Sub(r.startedAt), result.Tokens()))
+	a.resetBoard()
+	a.board.Observe(a.settings.Version(), r.evidenceRoute(), failed, normalizedLatency(now.Sub(r.startedAt), result.Tokens()))
 	a.brake(now, r, failed)
-	if _, moving := a.move(); moving {
+	if _, moving := a.openRollout(); moving {
 		a.evidence.Raise()
 	}
 }
 
-// startBoard begins a new board with each move, so that both versions are
-// compared over the same hours; the caller holds the lock.
-func (a *Agent) startBoard() {
-	move, _ := a.move()
-	if move.Name() == a.boardOf {
+// resetBoard starts a new board with each rollout, so that both versions are
+// compared over the same period. The caller holds the lock.
+func (a *Agent) resetBoard() {
+	move, _ := a.openRollout()
+	if move.Name() == a.boardRollout {
 		return
 	}
-	a.boardOf = move.Name()
-	a.board, a.brakeWatch = evidence.NewBoard(), evidence.NewBrake()
+	a.boardRollout = move.Name()
+	a.board, a.versionBrake = evidence.NewBoard(), evidence.NewBrake()
 }
 
-// perToken makes latencies of unlike lengths comparable: the time a hundred
-// tokens took.
-func perToken(took time.Duration, tokens int) time.Duration {
+// normalizedLatency makes latencies of responses of different lengths
+// comparable: it returns the time per 100 tokens.
+func normalizedLatency(took time.Duration, tokens int) time.Duration {
 	const unit = 100
 	if tokens <= 1 {
 		return took
@@ -111,9 +111,9 @@
 	return took * unit / time.Duration(tokens)
 }
 
-// move returns the move under way to this agent's version, if there is one;
-// the caller holds the lock.
-func (a *Agent) move() (document.Move, bool) {
+// openRollout returns the open rollout of this agent's service, if there is
+// one.
+func (a *Agent) openRollout() (document.Move, bool) {
 	doc, _ := a.log.Current()
 	for _, move := range doc.Moves() {
 		if move.Service() == a.settings.Service() && move.Open() {
@@ -123,35 +123,36 @@
 	return document.Move{}, false
 }
 
-// brake stops this upstream when its version is under test and its own
-// evidence shows a fault. It needs neither store nor entry; a version that is
-// not under test is never braked, since nothing stands beside it to take over.
+// brake stops this upstream if a rollout to its version is open and its own
+// evidence shows a fault. This needs neither the store nor an entry. A version
+// that is not in rollout is never stopped, as no other version could take over.
 func (a *Agent) brake(now time.Time, r *run, failed bool) {
-	move, moving := a.move()
+	move, moving := a.openRollout()
 	if !moving || move.To() != a.settings.Version() || a.admission.Blocked() != wire.Decline_REASON_UNSPECIFIED {
 		return
 	}
-	if !a.brakeWatch.Observe(r.evidenceRoute(), failed) {
+	if !a.versionBrake.Observe(r.evidenceRoute(), failed) {
 		return
 	}
 	tally := a.board.Get(move.To(), r.evidenceRoute())
 	a.apply(now, a.admission.Block(wire.Decline_REASON_BRAKED))
-	a.logger.Warn("version braked", "version", a.settings.Version(), "route", r.evidenceRoute(), "runs", tally.Runs(), "failures", tally.Failures(), "request", r.id())
+	a.logger.Warn("version stopped by agent", "version", a.settings.Version(), "route", r.evidenceRoute(), "runs", tally.Runs(), "failures", tally.Failures(), "request", r.id())
 	a.changed.Raise()
 }
 
-// upstreamDied tells whether the upstream died under a run that was cut: a
-// moment later, every run that was in progress with it was cut as well.
+// upstreamDied reports whether the upstream crashed during a run that lost its
+// connection, which is so if within crashWindow all concurrent runs have ended
+// or lost theirs as well.
 func (a *Agent) upstreamDied(r *run) bool {
 	a.mu.Lock()
-	r.cut = true
-	var company []*run
+	r.connectionLost = true
+	var concurrent []*run
 	for _, other := range a.runs {
 		if other.live() {
-			company = append(company, other)
+			concurrent = append(concurrent, other)
 		}
 	}
-	abandoned := a.abandonedLately(a.now())
+	abandoned := a.recentlyCanceled(a.now())
 	a.mu.Unlock()
 	select {
 	case <-time.After(crashWindow):
@@ -159,51 +160,52 @@
 		return false
 	}
 	now := a.now()
-	died := a.judgeCrash(now, r, company, abandoned)
+	died := a.confirmCrash(now, r, concurrent, abandoned)
 	if died {
-		// The runs' callers are told once the fleet has heard: a caller that
-		// sends the request again at once must meet the suspicion.
+		// The callers are told after the fleet was notified: an immediate resend
+		// of the request must already be treated as a suspect.
 		select {
-		case <-time.After(spreadWindow):
+		case <-time.After(crashSpreadDelay):
 		case <-a.ctx.Done():
 		}
 	}
 	return died
 }
 
-// abandonedLately returns the fingerprints of runs that were canceled a moment
-// ago: a caller that hangs up early must not hide what its request does. The
-// caller holds the lock.
-func (a *Agent) abandonedLately(now time.Time) []uint64 {
+// recentlyCanceled returns the fingerprints of runs that were canceled within
+// canceledWindow: a caller that disconnects early must not hide that its
+// request crashes the upstream. The caller holds the lock.
+func (a *Agent) recentlyCanceled(now time.Time) []uint64 {
 	var fingerprints []uint64
 	for _, r := range a.runs {
 		ended := r.buffer.Ended()
-		if ended.GetOutcome() == wire.End_OUTCOME_CANCELED && now.Sub(r.endedAt) < abandonedWindow {
+		if ended.GetOutcome() == wire.End_OUTCOME_CANCELED && now.Sub(r.endedAt) < canceledWindow {
 			fingerprints = append(fingerprints, r.offer.GetFingerprint())
 		}
 	}
 	return fingerprints
 }
 
-func (a *Agent) judgeCrash(now time.Time, r *run, company []*run, fingerprints []uint64) bool {
+// confirmCrash records a crash unless one of the concurrent runs survived.
+func (a *Agent) confirmCrash(now time.Time, r *run, concurrent []*run, fingerprints []uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, other := range company {
-		survived := !other.cut && other.endedAt.IsZero() && other.startedAt.Before(now.Add(-crashWindow))
+	for _, other := range concurrent {
+		survived := !other.connectionLost && other.endedAt.IsZero() && other.startedAt.Before(now.Add(-crashWindow))
 		if survived {
 			return false
 		}
-		if other.cut {
+		if other.connectionLost {
 			fingerprints = append(fingerprints, other.offer.GetFingerprint())
 		}
 	}
-	r.crash = a.crashed(now, fingerprints)
+	r.crash = a.recordCrash(now, fingerprints)
 	return true
 }
 
-// crashed notes one crash, whichever of its runs tells first; the caller holds
-// the lock. The runs of one crash find the upstream blocked already.
-func (a *Agent) crashed(now time.Time, fingerprints []uint64) *wire.Crash {
+// recordCrash records a crash. Further runs of the same crash, which report it
+// within crashWindow, only add their fingerprints. The caller holds the lock.
+func (a *Agent) recordCrash(now time.Time, fingerprints []uint64) *wire.Crash {
 	if now.Sub(a.crashedAt) < crashWindow {
 		a.suspects.Learn(now, suspect.NewCrash(a.crashID(a.crashes), now, fingerprints))
 		return &wire.Crash{Id: a.crashID(a.crashes), Fingerprints: fingerprints}
@@ -219,7 +221,7 @@
 	return &wire.Crash{Id: a.crashID(a.crashes), Fingerprints: fingerprints}
 }
 
-// block stops offers until the upstream can be reached again; the caller holds
+// block declines offers until the upstream is reachable again. The caller holds
 // the lock.
 func (a *Agent) block(now time.Time, reason wire.Decline_Reason) {
 	if a.admission.Blocked() == wire.Decline_REASON_BRAKED {
@@ -239,7 +241,7 @@
 		select {
 		case <-a.ctx.Done():
 			return
-		case <-time.After(probeEvery):
+		case <-time.After(probeInterval):
 		}
 		if !a.engine.Alive(a.ctx) {
 			continue
@@ -255,7 +257,7 @@
 	}
 }
 
-// progress tells the agent of a run's tokens.
+// progress reports a run's tokens to the agent.
 type progress struct {
 	agent *Agent
 	run   *run
@@ -281,8 +283,8 @@
 	}
 	r.lastToken = now
 	r.tokens += count
-	if r.tokens/reforecastEvery > r.reforecasts {
-		r.reforecasts = r.tokens / reforecastEvery
+	if r.tokens/reforecastTokens > r.reforecasts {
+		r.reforecasts = r.tokens / reforecastTokens
 		left := p.agent.forecast.Remaining(p.agent.route(r), r.tokens)
 		work := now.Sub(r.startedAt) + time.Duration(left)*p.agent.limit.TokenGap()
 		p.agent.admission.Reforecast(r.id(), work)
--- a/internal/role/agent/run.go
+++ b/internal/role/agent/run.go
@@ -10,33 +10,36 @@
 )
 
 const (
-	// answerBound is the unacknowledged bytes that hold an upstream back.
-	answerBound = 64 << 10
-	// answerKept is how much of a keyed action's answer stays readable.
-	answerKept = 64 << 10
-	// keptAfterEnd and keyedAfterEnd are how long an ended run is remembered,
-	// for an entry that resumes and for a caller that sends again.
-	keptAfterEnd  = 30 * time.Second
-	keyedAfterEnd = 10 * time.Minute
-	// keyedDispatched is how long a keyed dispatch itself is remembered. It is
-	// longer than claims are kept: "unknown here" must prove, for as long as
-	// anyone may ask, that the action was not run by this process.
-	keyedDispatched = 25 * time.Hour
-	// withdrawnFor is how long a request that was asked for but unknown stays
-	// refused. It is longer than StartHorizon, past which any offer is void.
-	withdrawnFor = 10 * time.Minute
-	// StartHorizon is the furthest moment ahead at which an offer may still
-	// start.
+	// maxUnackedBytes is the number of unacknowledged response bytes at which
+	// reading from the upstream pauses.
+	maxUnackedBytes = 64 << 10
+	// keyedReplayBytes is how much of a keyed action's response stays readable
+	// after it was acknowledged.
+	keyedReplayBytes = 64 << 10
+	// runRetention and keyedRunRetention are how long an ended run is retained,
+	// for an entry that resumes and for a caller that sends it again.
+	runRetention      = 30 * time.Second
+	keyedRunRetention = 10 * time.Minute
+	// keyedDispatchRetention is how long the dispatch of a keyed action is
+	// recorded. It is longer than the retention of claims: as long as anyone may
+	// ask for the action, an unknown run must prove that this process did not run
+	// it.
+	keyedDispatchRetention = 25 * time.Hour
+	// withdrawnRetention is how long a request that was unknown when it was
+	// asked for is declined. It is longer than StartHorizon, after which every
+	// offer has expired.
+	withdrawnRetention = 10 * time.Minute
+	// StartHorizon is the maximum time after which an offer may still start.
 	StartHorizon = 5 * time.Minute
-	// stalledAfter is how long a model may produce nothing.
-	stalledAfter = 30 * time.Second
-	// detachedFor is how long a run may have no reader before it is taken to
-	// be abandoned; an entry that lives resumes sooner.
-	detachedFor = 6 * time.Second
+	// stallTimeout is how long a model may produce no token.
+	stallTimeout = 30 * time.Second
+	// detachTimeout is how long a run may have no reader before it is considered
+	// abandoned; a live entry resumes sooner.
+	detachTimeout = 6 * time.Second
 )
 
-// run is one offered request from its offer to when it is forgotten. Its
-// mutable fields are guarded by the agent's lock.
+// run is the state of one offered request, from its offer until it is removed.
+// Its mutable fields are guarded by the agent's lock.
 type run struct {
 	offer  *wire.Offer
 	ticket *admission.Ticket
@@ -47,12 +50,12 @@
 	// decided is closed when the run starts or is declined.
 	decided chan struct{}
 	started bool
-	// notRun is the proof that the request was not dispatched.
-	notRun    wire.Decline_Reason
-	preempted bool
-	cut       bool
-	stall     bool
-	crash     *wire.Crash
+	// notRun is the reason why the request was provably not run.
+	notRun         wire.Decline_Reason
+	preempted      bool
+	connectionLost bool
+	stallDetected  bool
+	crash          *wire.Crash
 
 	startedAt   time.Time
 	firstToken  time.Time
@@ -66,34 +69,34 @@
 
 func (r *run) id() string { return r.offer.GetRequestId() }
 
-// evidenceRoute is what the version's evidence is kept by.
+// evidenceRoute returns the key of the run's evidence.
 func (r *run) evidenceRoute() string { return r.offer.GetWorkspace() + "/" + r.offer.GetAction() }
 
 func (r *run) live() bool { return r.started && r.endedAt.IsZero() }
 
-// forgettable tells whether nobody can ask for the run any more.
-func (r *run) forgettable(now time.Time) bool {
+// expired reports whether the run has no reader and its retention is over.
+func (r *run) expired(now time.Time) bool {
 	if r.endedAt.IsZero() || r.readers > 0 {
 		return false
 	}
-	kept := keptAfterEnd
+	kept := runRetention
 	if r.offer.GetKeyed() {
-		kept = keyedAfterEnd
+		kept = keyedRunRetention
 	}
 	return now.Sub(r.endedAt) > kept
 }
 
-// stalled tells whether a model's run has made no progress for so long that
-// its connection to the engine must be taken to be silent for good.
+// stalled reports whether a model's run made no progress for stallTimeout, after
+// which its connection to the engine is considered dead.
 func (r *run) stalled(now time.Time) bool {
 	progress := r.startedAt
 	if r.lastToken.After(progress) {
 		progress = r.lastToken
 	}
-	return r.live() && now.Sub(progress) > stalledAfter
+	return r.live() && now.Sub(progress) > stallTimeout
 }
 
-// abandoned tells whether the run's entry has not come back for it.
+// abandoned reports whether no entry has resumed the run for detachTimeout.
 func (r *run) abandoned(now time.Time) bool {
-	return r.endedAt.IsZero() && r.readers == 0 && !r.detachedAt.IsZero() && now.Sub(r.detachedAt) > detachedFor
+	return r.endedAt.IsZero() && r.readers == 0 && !r.detachedAt.IsZero() && now.Sub(r.detachedAt) > detachTimeout
 }
--- a/internal/role/agent/serve.go
+++ b/internal/role/agent/serve.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// firstMessage bounds the wait for a stream's first message.
-	firstMessage = 10 * time.Second
-	// heartbeatEvery is how long a request's stream may be without a message.
-	heartbeatEvery = 500 * time.Millisecond
-	// sendTimeout bounds a message to an entry that does not read.
+	// firstMessageTimeout bounds the wait for a stream's first message.
+	firstMessageTimeout = 10 * time.Second
+	// heartbeatInterval is the longest time without a message on a request's
+	// stream.
+	heartbeatInterval = 500 * time.Millisecond
+	// sendTimeout bounds the sending of a message to an entry that does not read.
 	sendTimeout = 10 * time.Second
-	// streamLife bounds one stream.
-	streamLife = time.Hour
+	// maxStreamLifetime bounds the lifetime of one stream.
+	maxStreamLifetime = time.Hour
 )
 
-// serveStream serves one stream of an entry.
+// serveStream serves one stream that an entry opened.
 func (a *Agent) serveStream(ctx context.Context, stream *link.Stream) {
 	defer func() { _ = stream.Close() }()
-	envelope, err := stream.Receive(a.now().Add(firstMessage))
+	envelope, err := stream.Receive(a.now().Add(firstMessageTimeout))
 	if err != nil {
 		return
 	}
@@ -41,8 +42,8 @@
 	}
 }
 
-// offer takes a request in and decides on it. The run it returns is declined,
-// waiting or started.
+// offer accepts or declines an offer. The run that it returns is declined,
+// queued or started.
 func (a *Agent) offer(o *wire.Offer) *run {
 	now := a.now()
 	a.mu.Lock()
@@ -53,7 +54,7 @@
 		return known
 	}
 	r := a.newRun(now, o)
-	if reason := a.refusal(now, o); reason != wire.Decline_REASON_UNSPECIFIED {
+	if reason := a.declineReason(now, o); reason != wire.Decline_REASON_UNSPECIFIED {
 		a.decline(now, r, reason)
 		return r
 	}
@@ -69,12 +70,12 @@
 	ctx, cancel := context.WithCancel(a.ctx)
 	kept := 0
 	if o.GetKeyed() {
-		kept = answerKept
+		kept = keyedReplayBytes
 	}
 	return &run{
 		offer:   o,
 		ticket:  a.ticket(now, o),
-		buffer:  answer.New(o.GetRequestId(), answerBound, kept, a.invariants),
+		buffer:  answer.New(o.GetRequestId(), maxUnackedBytes, kept, a.invariants),
 		ctx:     ctx,
 		cancel:  cancel,
 		decided: make(chan struct{}),
@@ -98,8 +99,9 @@
 	return admission.NewTicket(o.GetRequestId(), o.GetWorkspace(), int(o.GetTier()), deadline, startBy, milliseconds(o.GetExpectedMs()), options...)
 }
 
-// refusal finds what forbids the request here, whatever the load.
-func (a *Agent) refusal(now time.Time, o *wire.Offer) wire.Decline_Reason {
+// declineReason returns the reason, if any, to decline the request regardless of
+// the load.
+func (a *Agent) declineReason(now time.Time, o *wire.Offer) wire.Decline_Reason {
 	_, withdrawn := a.withdrawn[o.GetRequestId()]
 	switch {
 	case o.GetIncarnation() != 0 && o.GetIncarnation() != a.incarnation:
@@ -114,22 +116,22 @@
 	return wire.Decline_REASON_UNSPECIFIED
 }
 
-// resume serves the rest of an answer on a new stream. A request that is not
-// known here was never dispatched by this incarnation, and from now on never
-// will be: an offer that is still under way is refused when it arrives.
-func (a *Agent) resume(ctx context.Context, stream *link.Stream, ask *wire.Resume) {
+// resume serves the rest of a response on a new stream. A request that is
+// unknown here was not dispatched by this incarnation and from now on will not
+// be: an offer of it that is still in transit is declined on arrival.
+func (a *Agent) resume(ctx context.Context, stream *link.Stream, request *wire.Resume) {
 	now := a.now()
 	a.mu.Lock()
-	if ask.GetIncarnation() != 0 && ask.GetIncarnation() != a.incarnation {
+	if request.GetIncarnation() != 0 && request.GetIncarnation() != a.incarnation {
 		load := a.load(now)
 		a.mu.Unlock()
 		_ = a.send(stream, declineEnvelope(wire.Decline_REASON_INCARNATION, load))
 		return
 	}
-	r := a.runs[ask.GetRequestId()]
-	_, ran := a.dispatched[ask.GetRequestId()]
+	r := a.runs[request.GetRequestId()]
+	_, ran := a.dispatched[request.GetRequestId()]
 	if r == nil && !ran {
-		a.withdrawn[ask.GetRequestId()] = now.Add(withdrawnFor)
+		a.withdrawn[request.GetRequestId()] = now.Add(withdrawnRetention)
 		load := a.load(now)
 		a.mu.Unlock()
 		_ = a.send(stream, declineEnvelope(wire.Decline_REASON_UNKNOWN_RUN, load))
@@ -137,30 +139,30 @@
 	}
 	if r == nil {
 		a.mu.Unlock()
-		_ = a.send(stream, endEnvelope(&wire.End{Outcome: wire.End_OUTCOME_FAILED, Detail: "the answer is no longer kept"}))
+		_ = a.send(stream, endEnvelope(&wire.End{Outcome: wire.End_OUTCOME_FAILED, Detail: "the response is no longer retained"}))
 		return
 	}
 	r.readers++
 	r.detachedAt = time.Time{}
 	a.mu.Unlock()
-	a.serveRun(ctx, stream, r, ask.GetOffset() == 0, ask.GetOffset())
+	a.serveRun(ctx, stream, r, request.GetOffset() == 0, request.GetOffset())
 }
 
-// serveRun sends what becomes of a run, from an offset.
+// serveRun sends the decision on a run and its response from an offset.
 func (a *Agent) serveRun(ctx context.Context, stream *link.Stream, r *run, needHead bool, offset uint64) {
 	defer a.detach(r)
-	ctx, cancel := context.WithTimeout(ctx, streamLife)
+	ctx, cancel := context.WithTimeout(ctx, maxStreamLifetime)
 	defer cancel()
-	listening := make(chan struct{})
+	receiveDone := make(chan struct{})
 	go func() {
-		defer close(listening)
+		defer close(receiveDone)
 		defer cancel()
-		a.listen(stream, r)
+		a.receive(stream, r)
 	}()
 	a.deliver(ctx, stream, r, needHead, offset)
 	cancel()
 	_ = stream.Close()
-	<-listening
+	<-receiveDone
 }
 
 func (a *Agent) detach(r *run) {
@@ -172,10 +174,10 @@
 	}
 }
 
-// listen takes acknowledgements and withdrawals until the stream ends.
-func (a *Agent) listen(stream *link.Stream, r *run) {
+// receive handles acknowledgements and withdrawals until the stream ends.
+func (a *Agent) receive(stream *link.Stream, r *run) {
 	for {
-		envelope, err := stream.Receive(a.now().Add(streamLife))
+		envelope, err := stream.Receive(a.now().Add(maxStreamLifetime))
 		if err != nil {
 			return
 		}
@@ -208,8 +210,8 @@
 		return
 	}
 	for {
-		beat, cancel := context.WithTimeout(ctx, heartbeatEvery)
-		piece, err := r.buffer.Next(beat, needHead, offset)
+		nextCtx, cancel := context.WithTimeout(ctx, heartbeatInterval)
+		piece, err := r.buffer.Next(nextCtx, needHead, offset)
 		cancel()
 		switch {
 		case errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil:
@@ -232,8 +234,8 @@
 	}
 }
 
-// sendEnd closes the conversation. A run that turned out never to have reached
-// its upstream is declined: that is proof, too.
+// sendEnd sends the last message of the stream. A run that never reached its
+// upstream is declined, which proves that it did not run.
 func (a *Agent) sendEnd(ctx context.Context, stream *link.Stream, r *run, end *wire.End) {
 	a.mu.Lock()
 	load, notRun, crash := a.load(a.now()), r.notRun, r.crash
@@ -247,24 +249,25 @@
 	a.linger(ctx)
 }
 
-// linger leaves the entry time to close first, so that its last message is
-// not answered by a reset that would overtake ours.
+// linger gives the entry time to close the stream first. Otherwise a late
+// message of the entry would be answered by a reset, which could overtake the
+// agent's last message.
 func (a *Agent) linger(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(heartbeatEvery):
+	case <-time.After(heartbeatInterval):
 	}
 }
 
-// awaitDecision sends heartbeats until the run starts. It sends the decline
-// itself and tells whether the run started.
+// awaitDecision sends heartbeats until the run starts or is declined. It sends
+// the decline and reports whether the run started.
 func (a *Agent) awaitDecision(ctx context.Context, stream *link.Stream, r *run) bool {
-	// A first word at once lets the entry tell a link that swallows its offers
-	// from a request that takes its time.
+	// An immediate first message lets the entry distinguish a dead link from a
+	// request that is queued.
 	if err := a.send(stream, heartbeatEnvelope()); err != nil {
 		return false
 	}
-	ticker := time.NewTicker(heartbeatEvery)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/role/agent/status.go
+++ b/internal/role/agent/status.go
@@ -10,7 +10,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/fleet/wire"
 )
 
-// Status is what an agent tells operators of itself.
+// Status is the response of the agent's status endpoint.
 type Status struct {
 	Node     string     `json:"node"`
 	Upstream string     `json:"upstream"`
@@ -22,7 +22,7 @@
 	Breaches int        `json:"invariant-breaches"`
 }
 
-// Status returns what the agent tells of itself.
+// Status returns the agent's current status.
 func (a *Agent) Status() Status {
 	return Status{
 		Node: a.settings.Node(), Upstream: a.settings.Upstream(), Version: a.settings.Version(), Revision: a.log.Revision(),
@@ -37,11 +37,11 @@
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_agent_" + name, Help: help}, read))
 	}
 	gauge("running", "Requests running on the upstream.", func() float64 { return float64(a.Load().GetRunning()) })
-	gauge("limit", "Requests that may run at once.", func() float64 { return float64(a.Load().GetLimit()) })
+	gauge("limit", "Maximum number of concurrent requests.", func() float64 { return float64(a.Load().GetLimit()) })
 	gauge("dispatched", "Requests dispatched so far.", func() float64 { return float64(a.Counts().Dispatched) })
 	gauge("declined", "Offers declined so far.", func() float64 { return float64(a.Counts().Declined) })
-	gauge("crashes", "Deaths of the upstream seen.", func() float64 { return float64(a.Counts().Crashes) })
-	gauge("invariant_breaches", "Invariants seen broken.", func() float64 { return float64(a.invariants.Total()) })
+	gauge("crashes", "Crashes of the upstream detected.", func() float64 { return float64(a.Counts().Crashes) })
+	gauge("invariant_breaches", "Invariant violations detected.", func() float64 { return float64(a.invariants.Total()) })
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
