--- a/internal/action/claim/owner.go
+++ b/internal/action/claim/owner.go
@@ -169,11 +169,11 @@
 	}
 }
 
-// Ask passes a request to the owner and waits for its reply. An UNAVAILABLE
+// Handle passes a request to the owner and waits for its reply. An UNAVAILABLE
 // reply means that no claim is granted. A write whose response was lost may
 // still store a claim; its request is never dispatched, which the next request
 // for the same key finds out.
-func (p *Partition) Ask(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
+func (p *Partition) Handle(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
 	request := &pendingRequest{message: ask, reply: make(chan *wire.ClaimReply, 1)}
 	select {
 	case p.requests <- request:
--- a/internal/action/claim/owner_test.go
+++ b/internal/action/claim/owner_test.go
@@ -48,12 +48,12 @@
 		ctx := context.Background()
 		first, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
-		require.Equal(t, wire.ClaimReply_STATE_GRANTED, first.Ask(ctx, claimAsk("a", "r1")).GetState())
+		require.Equal(t, wire.ClaimReply_STATE_GRANTED, first.Handle(ctx, claimAsk("a", "r1")).GetState())
 		second, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
-		require.Equal(t, wire.ClaimReply_STATE_GRANTED, second.Ask(ctx, claimAsk("b", "r2")).GetState())
-		require.Equal(t, wire.ClaimReply_STATE_NOT_OWNER, first.Ask(ctx, claimAsk("b", "r3")).GetState())
-		require.Equal(t, wire.ClaimReply_STATE_HELD, second.Ask(ctx, claimAsk("a", "r4")).GetState(), "the second owner must know the claims granted by the first")
+		require.Equal(t, wire.ClaimReply_STATE_GRANTED, second.Handle(ctx, claimAsk("b", "r2")).GetState())
+		require.Equal(t, wire.ClaimReply_STATE_NOT_OWNER, first.Handle(ctx, claimAsk("b", "r3")).GetState())
+		require.Equal(t, wire.ClaimReply_STATE_HELD, second.Handle(ctx, claimAsk("a", "r4")).GetState(), "the second owner must know the claims granted by the first")
 		require.NoError(t, first.Close())
 		require.NoError(t, second.Close())
 	})
@@ -76,7 +76,7 @@
 			for _, attempt := range []string{"x", "y"} {
 				pending.Go(func() {
 					key := fmt.Sprint(i)
-					reply := owner.Ask(ctx, claimAsk(key, key+attempt))
+					reply := owner.Handle(ctx, claimAsk(key, key+attempt))
 					mu.Lock()
 					defer mu.Unlock()
 					if reply.GetState() == wire.ClaimReply_STATE_GRANTED {
@@ -95,7 +95,7 @@
 		later, err := Open(ctx, 0, client, discardLogger, time.Now)
 		require.NoError(t, err)
 		for key := range grants {
-			require.Equal(t, wire.ClaimReply_STATE_HELD, later.Ask(ctx, claimAsk(key, "late")).GetState())
+			require.Equal(t, wire.ClaimReply_STATE_HELD, later.Handle(ctx, claimAsk(key, "late")).GetState())
 		}
 		require.NoError(t, owner.Close())
 		require.NoError(t, later.Close())
@@ -113,7 +113,7 @@
 		p.Store().SetFaults(kv.Faults{SlowMS: 5})
 		var pending sync.WaitGroup
 		for i := range 1000 {
-			pending.Go(func() { owner.Ask(ctx, claimAsk(fmt.Sprint(i), fmt.Sprint("r", i))) })
+			pending.Go(func() { owner.Handle(ctx, claimAsk(fmt.Sprint(i), fmt.Sprint("r", i))) })
 			bubble.Pass(time.Millisecond)
 		}
 		pending.Wait()
--- a/internal/action/claim/partition.go
+++ b/internal/action/claim/partition.go
@@ -13,8 +13,8 @@
 	"github.com/persimmonridge/persimmonridge/internal/fleet/wire"
 )
 
-// Keep is how long the record of an action is retained.
-const Keep = 24 * time.Hour
+// Retention is how long the record of an action is retained.
+const Retention = 24 * time.Hour
 
 // state is the state of an action.
 type state string
@@ -79,7 +79,7 @@
 		return decision{wait: true}
 	}
 	known, exists := l.committed[key]
-	if exists && (known.State == released || now.Sub(known.At) > Keep) {
+	if exists && (known.State == released || now.Sub(known.At) > Retention) {
 		exists = false
 	}
 	d := l.decide(now, a, known, exists)
@@ -165,13 +165,13 @@
 // retained.
 func (l *ledger) isLive(now time.Time, r record) bool {
 	last, ok := l.committed[r.Key]
-	return ok && last.RequestID == r.RequestID && last.State == r.State && r.State != released && now.Sub(r.At) <= Keep
+	return ok && last.RequestID == r.RequestID && last.State == r.State && r.State != released && now.Sub(r.At) <= Retention
 }
 
 // expire removes records that are past their retention.
 func (l *ledger) expire(now time.Time) {
 	for key, r := range l.committed {
-		if now.Sub(r.At) > Keep {
+		if now.Sub(r.At) > Retention {
 			delete(l.committed, key)
 		}
 	}
--- a/internal/action/claim/partition_test.go
+++ b/internal/action/claim/partition_test.go
@@ -30,7 +30,7 @@
 // finds the first attempt's claim at booking-00, where the request provably
 // did not run, but the first attempt has meanwhile moved its claim to
 // booking-01 and runs there. A proof about booking-00 must not release it.
-func TestProofAboutOnePlaceDoesNotReleaseAnother(t *testing.T) {
+func TestProofForOneUpstreamKeepsClaimAtAnother(t *testing.T) {
 	l := newLedger()
 	require.Equal(t, wire.ClaimReply_STATE_GRANTED, apply(l, start, newRequest(wire.ClaimAsk_STEP_CLAIM, "first", "booking-00")).GetState())
 	require.Equal(t, wire.ClaimReply_STATE_GRANTED, apply(l, start, newRequest(wire.ClaimAsk_STEP_DISPATCH, "first", "booking-01")).GetState())
@@ -44,7 +44,7 @@
 	require.Equal(t, wire.ClaimReply_STATE_HELD, apply(l, start, newRequest(wire.ClaimAsk_STEP_DISPATCH, "first", "booking-02")).GetState(), "the first attempt must not move its claim after it was replaced")
 }
 
-func TestStatesOfOneAction(t *testing.T) {
+func TestActionStates(t *testing.T) {
 	l := newLedger()
 	apply(l, start, newRequest(wire.ClaimAsk_STEP_CLAIM, "first", "a"))
 	other := newRequest(wire.ClaimAsk_STEP_CLAIM, "second", "a")
@@ -56,7 +56,7 @@
 	replay := apply(l, start, newRequest(wire.ClaimAsk_STEP_CLAIM, "third", "a"))
 	require.Equal(t, wire.ClaimReply_STATE_FINISHED, replay.GetState())
 	require.Equal(t, []byte("booked"), replay.GetAnswer().GetBody())
-	require.Equal(t, wire.ClaimReply_STATE_GRANTED, apply(l, start.Add(Keep+time.Hour), newRequest(wire.ClaimAsk_STEP_CLAIM, "next-day", "a")).GetState())
+	require.Equal(t, wire.ClaimReply_STATE_GRANTED, apply(l, start.Add(Retention+time.Hour), newRequest(wire.ClaimAsk_STEP_CLAIM, "next-day", "a")).GetState())
 }
 
 // Concurrent attempts with one key claim, move, dispatch, die and prove others
--- a/internal/fleet/control/control.go
+++ b/internal/fleet/control/control.go
@@ -75,16 +75,16 @@
 // Option sets one of a peer's hooks.
 type Option func(*Peer)
 
-// Describe sets a function that adds to each notice before it is sent. Its
+// WithDescribe sets a function that adds to each notice before it is sent. Its
 // parameter evidence reports whether the receiver wants evidence on versions.
-func Describe(f func(now time.Time, notice *wire.Notice, evidence bool)) Option {
+func WithDescribe(f func(now time.Time, notice *wire.Notice, evidence bool)) Option {
 	return func(p *Peer) { p.describe = f }
 }
 
-// Evidence sets the signal that is raised on new evidence. It wakes only streams
+// WithEvidence sets the signal that is raised on new evidence. It wakes only streams
 // whose other side wants evidence: with hundreds of entries, sending it to all
 // of them would cost an agent more than all its other work.
-func Evidence(s *Signal) Option { return func(p *Peer) { p.evidence = s } }
+func WithEvidence(s *Signal) Option { return func(p *Peer) { p.evidence = s } }
 
 // NewPeer returns a peer for a configuration log and a register of crashes.
 // The signal changed is raised on every change that a notice reports.
@@ -98,7 +98,7 @@
 
 // Run serves the control stream with the peer at the address until the stream or
 // the context ends. It calls onNotice with each received notice, unless that is
-// nil. The address may be empty if Heard is never called for this peer.
+// nil. The address may be empty if ReportRevision is never called for this peer.
 func (p *Peer) Run(ctx context.Context, address string, stream *link.Stream, onNotice func(now time.Time, notice *wire.Notice)) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = stream.Close() })
@@ -141,13 +141,13 @@
 	return p.openStreams <= maxBroadcastStreams
 }
 
-// Heard records the configuration revision of the peer at the address, as it
+// ReportRevision records the configuration revision of the peer at the address, as it
 // was reported with a load report, for example. A peer with a lower revision is
 // sent the missing changes; one with a higher revision is asked for them. This
 // way a change is sent once, and only to peers that receive traffic; sending
 // every change on every link would cost an entry of the design size more than
 // its whole budget.
-func (p *Peer) Heard(address string, revision uint64) {
+func (p *Peer) ReportRevision(address string, revision uint64) {
 	p.mu.Lock()
 	c := p.streams[address]
 	p.mu.Unlock()
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -40,7 +40,7 @@
 
 func newNode(options ...control.Option) *node {
 	n := &node{log: changelog.New(invariant.New(discardLogger)), suspects: suspect.New(), changed: control.NewSignal(), evidence: control.NewSignal()}
-	n.peer = control.NewPeer(n.log, n.suspects, n.changed, time.Now, append(options, control.Evidence(n.evidence))...)
+	n.peer = control.NewPeer(n.log, n.suspects, n.changed, time.Now, append(options, control.WithEvidence(n.evidence))...)
 	return n
 }
 
@@ -133,7 +133,7 @@
 		entry, agent := newNode(), newNode()
 		address := connect(t, entry, agent)
 		require.NoError(t, entry.log.Apply(nil, changes))
-		entry.peer.Heard(address, 0)
+		entry.peer.ReportRevision(address, 0)
 		bubble.Pass(2 * time.Second)
 		require.Equal(t, uint64(2), agent.log.Revision())
 	})
@@ -143,8 +143,8 @@
 func TestEvidenceIsSentAtRequestedInterval(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		var wanted atomic.Uint32
-		entry := newNode(control.Describe(func(_ time.Time, n *wire.Notice, _ bool) { n.EvidenceEveryMs = wanted.Load() }))
-		agent := newNode(control.Describe(func(_ time.Time, n *wire.Notice, evidence bool) {
+		entry := newNode(control.WithDescribe(func(_ time.Time, n *wire.Notice, _ bool) { n.EvidenceEveryMs = wanted.Load() }))
+		agent := newNode(control.WithDescribe(func(_ time.Time, n *wire.Notice, evidence bool) {
 			if evidence {
 				n.Evidence = []*wire.RouteEvidence{{Route: "w/a"}}
 			}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -33,16 +33,16 @@
 type Upstream struct {
 	vm vmlist.VM
 
-	mu          sync.Mutex
-	listed      vmlist.State
-	load        *wire.Load
-	loadAt      time.Time
-	heardAt     time.Time
-	known       chan struct{}
-	lost        bool
-	sent        []sentWork
-	failures    int
-	failedUntil time.Time
+	mu            sync.Mutex
+	listed        vmlist.State
+	load          *wire.Load
+	loadAt        time.Time
+	lastMessageAt time.Time
+	reported      chan struct{}
+	disconnected  bool
+	sent          []sentWork
+	failures      int
+	failedUntil   time.Time
 }
 
 // sentWork is a request that was sent after the last load report.
@@ -53,7 +53,7 @@
 }
 
 func newUpstream(vm vmlist.VM) *Upstream {
-	return &Upstream{vm: vm, listed: vm.State(), known: make(chan struct{})}
+	return &Upstream{vm: vm, listed: vm.State(), reported: make(chan struct{})}
 }
 
 // Name returns the upstream's name.
@@ -82,66 +82,66 @@
 	if u.load != nil && load.GetIncarnation() < u.load.GetIncarnation() {
 		return
 	}
-	if u.load == nil || u.lost {
-		close(u.known)
+	if u.load == nil || u.disconnected {
+		close(u.reported)
 	}
-	u.load, u.loadAt, u.heardAt, u.lost = load, now, now, false
+	u.load, u.loadAt, u.lastMessageAt, u.disconnected = load, now, now, false
 	u.sent = u.sent[:0]
 	u.failures, u.failedUntil = 0, time.Time{}
 }
 
-// Heard records that a message of the agent arrived.
-func (u *Upstream) Heard(now time.Time) {
+// RecordMessage records that a message of the agent arrived.
+func (u *Upstream) RecordMessage(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.heardAt = now
+	u.lastMessageAt = now
 }
 
-// HeardAt returns when a message of the agent last arrived, the zero time if
+// LastMessageAt returns when a message of the agent last arrived, the zero time if
 // none did.
-func (u *Upstream) HeardAt() time.Time {
+func (u *Upstream) LastMessageAt() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.heardAt
+	return u.lastMessageAt
 }
 
-// HeardWithin reports whether a message of the agent arrived within the given
+// ReceivedWithin reports whether a message of the agent arrived within the given
 // time before now.
-func (u *Upstream) HeardWithin(now time.Time, d time.Duration) bool {
-	return now.Sub(u.HeardAt()) <= d
+func (u *Upstream) ReceivedWithin(now time.Time, d time.Duration) bool {
+	return now.Sub(u.LastMessageAt()) <= d
 }
 
-// Returning reports whether the agent's process has ended, is leaving or is
+// Restarting reports whether the agent's process has ended, is leaving or is
 // unreachable, but sent a message within the given time before now and its VM is
 // still listed as live. Another process will then probably replace it.
-func (u *Upstream) Returning(now time.Time, within time.Duration) bool {
+func (u *Upstream) Restarting(now time.Time, within time.Duration) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.listed == vmlist.Leaving || now.Sub(u.heardAt) > within {
+	if u.listed == vmlist.Leaving || now.Sub(u.lastMessageAt) > within {
 		return false
 	}
-	return u.lost || u.load.GetLeaving() || now.Before(u.failedUntil)
+	return u.disconnected || u.load.GetLeaving() || now.Before(u.failedUntil)
 }
 
-// Lost records that the control stream ended. The last load report stays in
+// Disconnected records that the control stream ended. The last load report stays in
 // use, but no longer prevents offers: the process that was leaving may have been
 // replaced.
-func (u *Upstream) Lost() {
+func (u *Upstream) Disconnected() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.load == nil || u.lost {
+	if u.load == nil || u.disconnected {
 		return
 	}
-	u.lost = true
-	u.known = make(chan struct{})
+	u.disconnected = true
+	u.reported = make(chan struct{})
 }
 
-// Known returns a channel that is closed once the agent has sent a load report
+// Reported returns a channel that is closed once the agent has sent a load report
 // on its current control stream.
-func (u *Upstream) Known() <-chan struct{} {
+func (u *Upstream) Reported() <-chan struct{} {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.known
+	return u.reported
 }
 
 // Incarnation returns the incarnation of the agent's process, 0 if unknown.
@@ -163,16 +163,16 @@
 	return u.load.GetClockMs() + uint64(max(now.Sub(u.loadAt), 0).Milliseconds()), true
 }
 
-// Sent records work that was sent to the upstream, as a correction of the last
+// RecordSent records work that was sent to the upstream, as a correction of the last
 // load report.
-func (u *Upstream) Sent(now time.Time, work time.Duration, prefix uint64) {
+func (u *Upstream) RecordSent(now time.Time, work time.Duration, prefix uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.sent = append(u.sent, sentWork{at: now, work: work, prefix: prefix})
 }
 
-// Failed records that the agent was unreachable.
-func (u *Upstream) Failed(now time.Time) {
+// RecordFailure records that the agent was unreachable.
+func (u *Upstream) RecordFailure(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	backoff := min(minFailureBackoff<<min(u.failures, 8), maxFailureBackoff)
@@ -189,14 +189,14 @@
 		return false
 	}
 	forbidden := u.load.GetLeaving() || u.load.GetBlocked() != wire.Decline_REASON_UNSPECIFIED
-	return u.lost || !forbidden
+	return u.disconnected || !forbidden
 }
 
 // Leaving reports whether the upstream is known to be leaving.
 func (u *Upstream) Leaving() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.listed == vmlist.Leaving || !u.lost && u.load.GetLeaving()
+	return u.listed == vmlist.Leaving || !u.disconnected && u.load.GetLeaving()
 }
 
 // Connected reports whether the agent has sent a load report on a control stream
@@ -204,12 +204,12 @@
 func (u *Upstream) Connected() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.load != nil && !u.lost
+	return u.load != nil && !u.disconnected
 }
 
-// Holds reports whether the upstream's cache probably contains the prefix: its
+// HasPrefix reports whether the upstream's cache probably contains the prefix: its
 // agent reported so, or this entry has sent it there since.
-func (u *Upstream) Holds(prefix uint64) bool {
+func (u *Upstream) HasPrefix(prefix uint64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if slices.Contains(u.load.GetPrefixes(), prefixcache.Mark(prefix)) {
@@ -218,8 +218,8 @@
 	return slices.ContainsFunc(u.sent, func(s sentWork) bool { return s.prefix == prefix })
 }
 
-// Listed returns the state of the upstream's VM in the platform's list.
-func (u *Upstream) Listed() vmlist.State {
+// ListedState returns the state of the upstream's VM in the platform's list.
+func (u *Upstream) ListedState() vmlist.State {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.listed
@@ -359,8 +359,8 @@
 	return u, ok
 }
 
-// AtAddress returns the upstream whose agent listens at the address.
-func (t *Table) AtAddress(address string) (*Upstream, bool) {
+// ByAddress returns the upstream whose agent listens at the address.
+func (t *Table) ByAddress(address string) (*Upstream, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	u, ok := t.byAddress[address]
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -32,7 +32,7 @@
 	u := lookup(t, table)
 	u.Report(start, &wire.Load{Incarnation: 1, Leaving: true})
 	require.False(t, u.Available(start))
-	u.Lost()
+	u.Disconnected()
 	require.True(t, u.Available(start))
 	u.Report(start, &wire.Load{Incarnation: 2})
 	require.True(t, u.Connected())
@@ -79,9 +79,9 @@
 	table.Replace(vmList(vmlist.Live, "a:1"))
 	u := lookup(t, table)
 	u.Report(start, &wire.Load{Incarnation: 1, Limit: 2, Running: 1})
-	u.Sent(start, time.Second, 42)
+	u.RecordSent(start, time.Second, 42)
 	require.Equal(t, 2, u.View(start, 0).Jobs)
-	require.True(t, u.Holds(42))
+	require.True(t, u.HasPrefix(42))
 	require.Equal(t, 1, u.View(start.Add(time.Minute), 0).Jobs, "sent work must not be counted after its lifetime")
 }
 
@@ -89,9 +89,9 @@
 	table := member.New()
 	table.Replace(vmList(vmlist.Live, "a:1"))
 	u := lookup(t, table)
-	u.Failed(start)
+	u.RecordFailure(start)
 	require.False(t, u.Available(start.Add(200*time.Millisecond)))
 	require.True(t, u.Available(start.Add(300*time.Millisecond)))
-	u.Failed(start)
+	u.RecordFailure(start)
 	require.False(t, u.Available(start.Add(300*time.Millisecond)))
 }
--- a/internal/platform/store/store.go
+++ b/internal/platform/store/store.go
@@ -93,25 +93,25 @@
 // Exists reports whether the key exists.
 func (e Entry) Exists() bool { return e.index > 0 }
 
-// Account counts the calls of a client.
-type Account struct {
+// Stats counts the calls of a client.
+type Stats struct {
 	reads, writes, failures, throttled, bytes atomic.Uint64
 }
 
 // Reads returns the number of reads sent.
-func (a *Account) Reads() uint64 { return a.reads.Load() }
+func (a *Stats) Reads() uint64 { return a.reads.Load() }
 
 // Writes returns the number of writes sent.
-func (a *Account) Writes() uint64 { return a.writes.Load() }
+func (a *Stats) Writes() uint64 { return a.writes.Load() }
 
 // Failures returns the number of calls without a valid response.
-func (a *Account) Failures() uint64 { return a.failures.Load() }
+func (a *Stats) Failures() uint64 { return a.failures.Load() }
 
 // Throttled returns the number of calls rejected by this process's rate limit.
-func (a *Account) Throttled() uint64 { return a.throttled.Load() }
+func (a *Stats) Throttled() uint64 { return a.throttled.Load() }
 
 // Bytes returns the total size of all responses.
-func (a *Account) Bytes() uint64 { return a.bytes.Load() }
+func (a *Stats) Bytes() uint64 { return a.bytes.Load() }
 
 // Dialer opens connections to the store.
 type Dialer interface {
@@ -125,7 +125,7 @@
 	http      *http.Client
 	calls     *budget.Bucket
 	burst     float64
-	account   *Account
+	stats     *Stats
 	current   atomic.Uint32
 	now       func() time.Time
 }
@@ -143,7 +143,7 @@
 		http:      &http.Client{Transport: transport},
 		calls:     budget.New(callsPerSecond, callBurst),
 		burst:     callBurst,
-		account:   &Account{},
+		stats:     &Stats{},
 		now:       now,
 	}
 	for _, option := range options {
@@ -175,8 +175,8 @@
 	return c.calls.Take(c.now(), 1, 0)
 }
 
-// Account returns the counters of the client's calls.
-func (c *Client) Account() *Account { return c.account }
+// Stats returns the counters of the client's calls.
+func (c *Client) Stats() *Stats { return c.stats }
 
 // Close closes idle connections.
 func (c *Client) Close() error {
@@ -322,22 +322,22 @@
 
 func (c *Client) call(ctx context.Context, priority Priority, method, path string, query url.Values, body []byte) (reply, error) {
 	if !c.allowed(priority) {
-		c.account.throttled.Add(1)
+		c.stats.throttled.Add(1)
 		return reply{}, Throttled.New("rate limit of this process for calls to the store is used up; wait a second")
 	}
 	if method == http.MethodGet {
-		c.account.reads.Add(1)
+		c.stats.reads.Add(1)
 	} else {
-		c.account.writes.Add(1)
+		c.stats.writes.Add(1)
 	}
 	ctx, cancel := withDefaultTimeout(ctx)
 	defer cancel()
 	answer, err := c.exchange(ctx, method, path, query, body)
 	if err != nil {
-		c.account.failures.Add(1)
+		c.stats.failures.Add(1)
 		c.current.Add(1)
 	}
-	c.account.bytes.Add(uint64(len(answer.body)))
+	c.stats.bytes.Add(uint64(len(answer.body)))
 	return answer, err
 }
 
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -137,7 +137,7 @@
 	a.engine = engine.New(s.UpstreamURL(), now, a.dialer)
 	a.log = changelog.New(a.invariants)
 	a.admission = admission.New(maxTiers, firstLimit(s), maxWaiting, a.invariants)
-	a.peer = control.NewPeer(a.log, a.suspects, a.changed, now, control.Describe(a.describe), control.Evidence(a.evidence))
+	a.peer = control.NewPeer(a.log, a.suspects, a.changed, now, control.WithDescribe(a.describe), control.WithEvidence(a.evidence))
 	a.server = link.Serve(listener, a.serveStream)
 	a.wg.Go(a.tick)
 	if !s.Plain() {
--- a/internal/role/agent/execute.go
+++ b/internal/role/agent/execute.go
@@ -50,8 +50,8 @@
 	}
 	if !result.Sent() && outcome == wire.End_OUTCOME_FAILED {
 		r.notRun = wire.Decline_REASON_UNREACHABLE
-		if abandoned := a.recentlyCanceled(now); len(abandoned) > 0 {
-			a.recordCrash(now, abandoned)
+		if canceled := a.recentlyCanceled(now); len(canceled) > 0 {
+			a.recordCrash(now, canceled)
 		}
 		a.block(now, wire.Decline_REASON_UNREACHABLE)
 	}
@@ -93,11 +93,11 @@
 // resetBoard starts a new board with each rollout, so that both versions are
 // compared over the same period. The caller holds the lock.
 func (a *Agent) resetBoard() {
-	move, _ := a.openRollout()
-	if move.Name() == a.boardRollout {
+	rollout, _ := a.openRollout()
+	if rollout.Name() == a.boardRollout {
 		return
 	}
-	a.boardRollout = move.Name()
+	a.boardRollout = rollout.Name()
 	a.board, a.versionBrake = evidence.NewBoard(), evidence.NewBrake()
 }
 
@@ -115,9 +115,9 @@
 // one.
 func (a *Agent) openRollout() (document.Move, bool) {
 	doc, _ := a.log.Current()
-	for _, move := range doc.Moves() {
-		if move.Service() == a.settings.Service() && move.Open() {
-			return move, true
+	for _, rollout := range doc.Moves() {
+		if rollout.Service() == a.settings.Service() && rollout.Open() {
+			return rollout, true
 		}
 	}
 	return document.Move{}, false
@@ -127,14 +127,14 @@
 // evidence shows a fault. This needs neither the store nor an entry. A version
 // that is not in rollout is never stopped, as no other version could take over.
 func (a *Agent) brake(now time.Time, r *run, failed bool) {
-	move, moving := a.openRollout()
-	if !moving || move.To() != a.settings.Version() || a.admission.Blocked() != wire.Decline_REASON_UNSPECIFIED {
+	rollout, open := a.openRollout()
+	if !open || rollout.To() != a.settings.Version() || a.admission.Blocked() != wire.Decline_REASON_UNSPECIFIED {
 		return
 	}
 	if !a.versionBrake.Observe(r.evidenceRoute(), failed) {
 		return
 	}
-	tally := a.board.Get(move.To(), r.evidenceRoute())
+	tally := a.board.Get(rollout.To(), r.evidenceRoute())
 	a.apply(now, a.admission.Block(wire.Decline_REASON_BRAKED))
 	a.logger.Warn("version stopped by agent", "version", a.settings.Version(), "route", r.evidenceRoute(), "runs", tally.Runs(), "failures", tally.Failures(), "request", r.id())
 	a.changed.Raise()
@@ -152,7 +152,7 @@
 			concurrent = append(concurrent, other)
 		}
 	}
-	abandoned := a.recentlyCanceled(a.now())
+	canceled := a.recentlyCanceled(a.now())
 	a.mu.Unlock()
 	select {
 	case <-time.After(crashWindow):
@@ -160,7 +160,7 @@
 		return false
 	}
 	now := a.now()
-	died := a.confirmCrash(now, r, concurrent, abandoned)
+	died := a.confirmCrash(now, r, concurrent, canceled)
 	if died {
 		// The callers are told after the fleet was notified: an immediate resend
 		// of the request must already be treated as a suspect.
--- a/internal/role/agent/run.go
+++ b/internal/role/agent/run.go
@@ -79,11 +79,11 @@
 	if r.endedAt.IsZero() || r.readers > 0 {
 		return false
 	}
-	kept := runRetention
+	retention := runRetention
 	if r.offer.GetKeyed() {
-		kept = keyedRunRetention
+		retention = keyedRunRetention
 	}
-	return now.Sub(r.endedAt) > kept
+	return now.Sub(r.endedAt) > retention
 }
 
 // stalled reports whether a model's run made no progress for stallTimeout, after
--- a/internal/role/entry/attempt.go
+++ b/internal/role/entry/attempt.go
@@ -106,12 +106,12 @@
 	}
 	stream, err := e.pool.Open(ctx, a.upstream.Address())
 	if err != nil {
-		a.upstream.Failed(now)
+		a.upstream.RecordFailure(now)
 		return result{ending: notRun, reason: wire.Decline_REASON_UNREACHABLE}
 	}
 	a.current.Store(stream)
 	defer a.closeStream()
-	a.upstream.Sent(now, c.work, a.q.PrefixKey())
+	a.upstream.RecordSent(now, c.work, a.q.PrefixKey())
 	offer := &wire.Envelope{Body: &wire.Envelope_Offer{Offer: a.buildOffer(now, clock, c)}}
 	if err := stream.Send(now.Add(sendTimeout), offer); err != nil {
 		return a.follow(ctx, false)
@@ -174,7 +174,7 @@
 		}
 		// Until the agent responds again, no other request is sent there: on a
 		// lost VM each of them would be lost like this one.
-		a.upstream.Failed(a.entry.now())
+		a.upstream.RecordFailure(a.entry.now())
 		a.entry.pool.Replace(a.upstream.Address(), a.current.Load().Session())
 		a.closeStream()
 		connected = false
@@ -219,7 +219,7 @@
 		if ctx.Err() != nil {
 			return result{ending: callerGone}, false
 		}
-		a.upstream.Failed(e.now())
+		a.upstream.RecordFailure(e.now())
 		wait.For(ctx, resumeInterval)
 	}
 	return result{ending: a.lostOrBroken(), detail: "agent of the upstream unreachable"}, false
@@ -252,12 +252,12 @@
 		if err != nil {
 			if errorx.IsOfType(err, link.Silent) {
 				e.logger.Warn("link silent", "node", e.settings.Node(), "request", a.runID, "upstream", a.upstream.Name(),
-					"session", a.current.Load().Session(), "heard-before", e.now().Sub(a.upstream.HeardAt()).Round(time.Millisecond))
+					"session", a.current.Load().Session(), "heard-before", e.now().Sub(a.upstream.LastMessageAt()).Round(time.Millisecond))
 			}
 			return result{}, false
 		}
 		allowed = silenceTimeout
-		a.upstream.Heard(e.now())
+		a.upstream.RecordMessage(e.now())
 		if a.overdue(e.now()) {
 			a.withdraw(a.q.RepeatSafe())
 			return result{ending: a.lostOrBroken(), detail: "still running long after its deadline"}, true
@@ -312,7 +312,7 @@
 		return
 	}
 	a.upstream.Report(now, load)
-	a.entry.peer.Heard(a.upstream.Address(), load.GetRevision())
+	a.entry.peer.ReportRevision(a.upstream.Address(), load.GetRevision())
 }
 
 func (a *attempt) acknowledge() {
--- a/internal/role/entry/choose.go
+++ b/internal/role/entry/choose.go
@@ -115,7 +115,7 @@
 // cachedShare returns the share of the prompt's prefill that the upstream's
 // cache saves.
 func cachedShare(q *request.Request, u *member.Upstream) float64 {
-	if !u.Holds(q.PrefixKey()) {
+	if !u.HasPrefix(q.PrefixKey()) {
 		return 0
 	}
 	return float64(q.PrefixTokens()) / float64(q.PromptTokens())
--- a/internal/role/entry/claims.go
+++ b/internal/role/entry/claims.go
@@ -77,10 +77,10 @@
 		c.mu.Unlock()
 		return
 	}
-	if under, busy := c.opening[partition]; busy {
+	if opened, busy := c.opening[partition]; busy {
 		c.mu.Unlock()
 		select {
-		case <-under:
+		case <-opened:
 		case <-ctx.Done():
 		}
 		return
@@ -161,7 +161,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	return p.Ask(ctx, ask)
+	return p.Handle(ctx, ask)
 }
 
 // request sends a request to the owner of the key's partition, here or on
@@ -198,9 +198,9 @@
 
 func (c *claims) requestOnce(ctx context.Context, partition int, ask *wire.ClaimAsk) *wire.ClaimReply {
 	c.mu.Lock()
-	owner, mine := c.owners[partition], c.ownedPartition(partition) != nil
+	owner, owned := c.owners[partition], c.ownedPartition(partition) != nil
 	c.mu.Unlock()
-	if mine {
+	if owned {
 		return c.serve(ctx, ask)
 	}
 	if owner.Address == "" || owner.Node == c.entry.settings.Node() {
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -72,12 +72,12 @@
 	rollouts *rollouts
 	metrics  *metrics
 
-	http       *http.Server
-	listener   net.Listener
-	leaving    atomic.Bool
-	ctx        context.Context
-	cancel     context.CancelFunc
-	goroutines sync.WaitGroup
+	http     *http.Server
+	listener net.Listener
+	leaving  atomic.Bool
+	ctx      context.Context
+	cancel   context.CancelFunc
+	wg       sync.WaitGroup
 }
 
 // Option configures an entry for tests and simulations.
@@ -120,7 +120,7 @@
 	e.store = store.New(e.settings.StoreAddresses(), e.now, e.dialer)
 	e.pool = link.NewPool(e.dialer, e.sessionOpened)
 	e.log = changelog.New(e.invariants)
-	e.peer = control.NewPeer(e.log, e.suspects, e.changed, e.now, control.Describe(e.describe))
+	e.peer = control.NewPeer(e.log, e.suspects, e.changed, e.now, control.WithDescribe(e.describe))
 	e.metrics = newMetrics(e)
 	e.holder = lease.New(e.store, e.settings.Node(), leaseTTL, e.logger, e.now)
 	e.claims = newClaims(e)
@@ -129,12 +129,12 @@
 	e.poller = vmlist.Poll(e.settings.VMListURL(), e.dialer, e.logger, e.replaceVMs)
 	e.peers = link.Serve(peers, e.servePeer)
 	e.http = &http.Server{Handler: e.handler(), ReadHeaderTimeout: headerTimeout, ErrorLog: slog.NewLogLogger(e.logger.Handler(), slog.LevelDebug)}
-	e.goroutines.Go(func() {
+	e.wg.Go(func() {
 		if err := e.http.Serve(e.listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			e.logger.Error("HTTP server for callers failed", "error", err.Error())
 		}
 	})
-	e.goroutines.Go(func() { e.rollouts.run(e.ctx) })
+	e.wg.Go(func() { e.rollouts.run(e.ctx) })
 	e.logger.Info("entry started", "node", e.settings.Node(), "callers", e.listener.Addr().String(), "peers", e.peers.Addr())
 }
 
@@ -196,7 +196,7 @@
 	_ = e.poller.Close()
 	_ = e.follower.Close()
 	_ = e.pool.Close()
-	e.goroutines.Wait()
+	e.wg.Wait()
 	e.claims.close()
 	_ = e.peers.Close()
 	_ = e.store.Close()
--- a/internal/role/entry/keyed.go
+++ b/internal/role/entry/keyed.go
@@ -184,7 +184,7 @@
 		ask.Answer = c.out.stored(wire.End_OUTCOME_FAILED)
 	}
 	e := c.entry
-	e.goroutines.Go(func() {
+	e.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(e.ctx, recordTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
--- a/internal/role/entry/output_test.go
+++ b/internal/role/entry/output_test.go
@@ -17,7 +17,7 @@
 
 // Guards against a complete response whose end is lost because the write
 // deadline of its last chunk passed before the upstream ended the response.
-func TestAnswerThatEndsLongAfterItsLastPieceIsWhole(t *testing.T) {
+func TestResponseEndingLongAfterLastChunkIsComplete(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
 		n := network.New()
 		listener, err := n.Listen("a:1")
--- a/internal/role/entry/peers.go
+++ b/internal/role/entry/peers.go
@@ -40,7 +40,7 @@
 	}
 	for _, u := range all {
 		if !u.Leaving() {
-			e.goroutines.Go(func() { e.reconnect(u) })
+			e.wg.Go(func() { e.reconnect(u) })
 		}
 	}
 }
@@ -51,14 +51,14 @@
 	ctx, cancel := context.WithTimeout(ctx, contactTimeout)
 	defer cancel()
 	if _, err := e.pool.Session(ctx, u.Address()); err != nil {
-		u.Failed(e.now())
+		u.RecordFailure(e.now())
 		return false
 	}
 	select {
-	case <-u.Known():
+	case <-u.Reported():
 		return true
 	case <-ctx.Done():
-		u.Failed(e.now())
+		u.RecordFailure(e.now())
 		return false
 	}
 }
@@ -67,17 +67,17 @@
 // to a lost VM may have run and cannot be offered elsewhere; after an
 // unanswered ping the request still can.
 func (e *Entry) confirm(ctx context.Context, u *member.Upstream) bool {
-	if u.HeardWithin(e.now(), pingAfter) {
+	if u.ReceivedWithin(e.now(), pingAfter) {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, firstMessageTimeout)
 	defer cancel()
 	if err := e.pool.Ping(ctx, u.Address()); err != nil {
 		e.logger.Warn("link silent", "node", e.settings.Node(), "upstream", u.Name(), "error", err.Error())
-		u.Failed(e.now())
+		u.RecordFailure(e.now())
 		return false
 	}
-	u.Heard(e.now())
+	u.RecordMessage(e.now())
 	return true
 }
 
@@ -99,7 +99,7 @@
 		_ = stream.Close()
 		return
 	}
-	e.goroutines.Go(func() {
+	e.wg.Go(func() {
 		e.peer.Run(e.ctx, address, stream, func(now time.Time, n *wire.Notice) { e.handleNotice(now, address, n) })
 		e.controlEnded(address, s)
 	})
@@ -116,9 +116,9 @@
 	if e.pool.Holds(address) {
 		return
 	}
-	if u, ok := e.table.AtAddress(address); ok {
-		u.Lost()
-		e.goroutines.Go(func() { e.reconnect(u) })
+	if u, ok := e.table.ByAddress(address); ok {
+		u.Disconnected()
+		e.wg.Go(func() { e.reconnect(u) })
 	}
 }
 
@@ -127,7 +127,7 @@
 func (e *Entry) reconnect(u *member.Upstream) {
 	for e.ctx.Err() == nil && !u.Connected() {
 		listed, ok := e.table.Upstream(u.Name())
-		if !ok || listed != u || u.Listed() == vmlist.Leaving || len(e.table.All()) > maxEagerLinks {
+		if !ok || listed != u || u.ListedState() == vmlist.Leaving || len(e.table.All()) > maxEagerLinks {
 			return
 		}
 		e.contact(e.ctx, u)
@@ -140,7 +140,7 @@
 	if n.GetLoad() == nil {
 		return
 	}
-	if u, ok := e.table.AtAddress(address); ok {
+	if u, ok := e.table.ByAddress(address); ok {
 		u.Report(now, n.GetLoad())
 		e.rollouts.recordReport(u, n)
 	}
--- a/internal/role/entry/rollouts_test.go
+++ b/internal/role/entry/rollouts_test.go
@@ -14,7 +14,7 @@
 // that no longer exists, and against unbounded growth of reports as VMs are
 // replaced: when the VM of a stopped upstream is replaced by one of another
 // name, its report must be removed.
-func TestReportsGoWithTheirUpstreams(t *testing.T) {
+func TestReportsAreRemovedWithUpstreams(t *testing.T) {
 	m := newRollouts(&Entry{})
 	table := member.New()
 	table.Replace([]vmlist.VM{vmlist.NewAgent("tutor-1", "tutor", "easel-2", "a:1", "d", 1)})
--- a/internal/role/entry/search.go
+++ b/internal/role/entry/search.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	for _, u := range s.call.entry.table.Service(s.call.q.Service().Name()) {
-		if !s.declined[u.Name()] && u.Returning(now, restartWait) {
+		if !s.declined[u.Name()] && u.Restarting(now, restartWait) {
 			return true
 		}
 	}
--- a/internal/role/entry/status.go
+++ b/internal/role/entry/status.go
@@ -52,12 +52,12 @@
 // Status returns the entry's current status.
 func (e *Entry) Status() Status {
 	now := e.now()
-	account := e.store.Account()
+	stats := e.store.Stats()
 	s := Status{
 		Node: e.settings.Node(), Revision: e.log.Revision(), Leaving: e.leaving.Load(),
 		Moves: e.rollouts.describe(now), Partitions: e.claims.count(), Duty: e.holder.Held(now, leaseKey),
 		Convicted: e.suspects.Convicted(now), Breaches: e.invariants.Total(),
-		Store: StoreStatus{Reads: account.Reads(), Writes: account.Writes(), Failures: account.Failures(), Throttled: account.Throttled(), Bytes: account.Bytes()},
+		Store: StoreStatus{Reads: stats.Reads(), Writes: stats.Writes(), Failures: stats.Failures(), Throttled: stats.Throttled(), Bytes: stats.Bytes()},
 	}
 	for _, u := range e.table.All() {
 		load := u.Load()
