--- a/internal/action/claim/owner.go
+++ b/internal/action/claim/owner.go
@@ -173,8 +173,8 @@
 // reply means that no claim is granted. A write whose response was lost may
 // still store a claim; its request is never dispatched, which the next request
 // for the same key finds out.
-func (p *Partition) Handle(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
-	request := &pendingRequest{message: ask, reply: make(chan *wire.ClaimReply, 1)}
+func (p *Partition) Handle(ctx context.Context, message *wire.ClaimAsk) *wire.ClaimReply {
+	request := &pendingRequest{message: message, reply: make(chan *wire.ClaimReply, 1)}
 	select {
 	case p.requests <- request:
 	case <-ctx.Done():
@@ -365,15 +365,15 @@
 		return err
 	}
 	p.segments[name] = p.tail.Records
-	var kept, dead []string
+	var live, dead []string
 	for _, segment := range append(p.tail.Segments, name) {
 		if p.anyLive(now, p.segments[segment]) {
-			kept = append(kept, segment)
+			live = append(live, segment)
 			continue
 		}
 		dead = append(dead, segment)
 	}
-	p.tail.Segments, p.tail.Records, p.tailBytes = kept, nil, 0
+	p.tail.Segments, p.tail.Records, p.tailBytes = live, nil, 0
 	if err := p.swap(p.ctx); err != nil {
 		return err
 	}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -254,16 +254,16 @@
 			v.Speed = float64(referenceTokenInterval.Microseconds()) / float64(gap)
 		}
 	}
-	kept := u.sent[:0]
+	recent := u.sent[:0]
 	for _, s := range u.sent {
 		if now.Sub(s.at) > sentWorkLifetime {
 			continue
 		}
-		kept = append(kept, s)
+		recent = append(recent, s)
 		v.Jobs++
 		v.Backlog += s.work
 	}
-	u.sent = kept
+	u.sent = recent
 	return v
 }
 
@@ -323,14 +323,14 @@
 		groups[key].upstreams = append(groups[key].upstreams, u)
 		groups[key].members = append(groups[key].members, candidate.NewMember(vm.Upstream(), vm.Weight()))
 	}
-	var gone []*Upstream
+	var removed []*Upstream
 	for name, u := range t.byName {
 		if byName[name] == nil || byName[name].Address() != u.Address() {
-			gone = append(gone, u)
+			removed = append(removed, u)
 		}
 	}
 	t.byName, t.byAddress, t.groups = byName, byAddress, groups
-	return gone
+	return removed
 }
 
 func (t *Table) reuseOrCreate(vm vmlist.VM) *Upstream {
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -57,7 +57,7 @@
 	require.Empty(t, table.Replace(vmList(vmlist.Leaving, "a:1")))
 	require.Same(t, u, lookup(t, table), "state must be retained at the same address")
 	require.False(t, u.Available(start))
-	require.Len(t, table.Replace(vmList(vmlist.Live, "b:1")), 1, "an upstream with another address must be returned as gone")
+	require.Len(t, table.Replace(vmList(vmlist.Live, "b:1")), 1, "an upstream whose address changed must be returned as removed")
 	require.NotSame(t, u, lookup(t, table))
 }
 
--- a/internal/platform/lease/lease.go
+++ b/internal/platform/lease/lease.go
@@ -34,10 +34,10 @@
 	logger *slog.Logger
 	now    func() time.Time
 
-	mu      sync.Mutex
-	session string
-	until   time.Time
-	fences  map[string]uint64
+	mu        sync.Mutex
+	session   string
+	expiresAt time.Time
+	fences    map[string]uint64
 
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -100,14 +100,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.session = session
-	h.until = requestedAt.Add(h.ttl)
+	h.expiresAt = requestedAt.Add(h.ttl)
 }
 
 func (h *Holder) reset() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.session = ""
-	h.until = time.Time{}
+	h.expiresAt = time.Time{}
 	clear(h.fences)
 }
 
@@ -122,7 +122,7 @@
 func (h *Holder) Held(now time.Time, key string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fences[key] > 0 && now.Before(h.until)
+	return h.fences[key] > 0 && now.Before(h.expiresAt)
 }
 
 // Fence returns the fencing token of a held key, which increases with each
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -63,12 +63,12 @@
 	peer        *control.Peer
 	forecast    *forecast.Forecast
 
-	mu        sync.Mutex
-	admission *admission.Controller
-	limit     *limit.Limit
-	cached    *prefixcache.Guess
-	runs      map[string]*run
-	withdrawn map[string]time.Time
+	mu          sync.Mutex
+	admission   *admission.Controller
+	limit       *limit.Limit
+	prefixCache *prefixcache.Guess
+	runs        map[string]*run
+	withdrawn   map[string]time.Time
 	// dispatched maps a request id to the time when its dispatch record expires.
 	dispatched   map[string]time.Time
 	board        *evidence.Board
@@ -119,7 +119,7 @@
 		evidence:     control.NewSignal(),
 		forecast:     forecast.New(),
 		limit:        limit.New(limit.NewTargets(s.TokenGap(), s.FirstToken()), firstLimit(s), 1, s.MaxLimit()),
-		cached:       prefixcache.New(),
+		prefixCache:  prefixcache.New(),
 		runs:         make(map[string]*run),
 		withdrawn:    make(map[string]time.Time),
 		dispatched:   make(map[string]time.Time),
@@ -190,7 +190,7 @@
 		Limit:       uint32(a.admission.Limit()),
 		TokenGapUs:  uint32(a.limit.TokenGap().Microseconds()),
 		Version:     a.settings.Version(),
-		Prefixes:    a.cached.Told(),
+		Prefixes:    a.prefixCache.Told(),
 		Revision:    a.log.Revision(),
 	}
 	tiers := a.tiers()
@@ -255,7 +255,7 @@
 	}
 	a.counts.Dispatched++
 	if r.offer.GetPrefixTokens() > 0 {
-		a.cached.Used(r.offer.GetPrefixKey(), int(r.offer.GetPrefixTokens()))
+		a.prefixCache.Used(r.offer.GetPrefixKey(), int(r.offer.GetPrefixTokens()))
 	}
 	r.started = true
 	r.startedAt = now
@@ -271,7 +271,7 @@
 		report, err := a.engine.Load(a.ctx)
 		if err == nil {
 			a.mu.Lock()
-			a.cached.Reported(report.CachedTokens)
+			a.prefixCache.Reported(report.CachedTokens)
 			a.mu.Unlock()
 		}
 		select {
--- a/internal/role/agent/execute.go
+++ b/internal/role/agent/execute.go
@@ -29,7 +29,7 @@
 // execute runs one request on the upstream and records its outcome.
 func (a *Agent) execute(r *run) {
 	call := engine.NewCall(r.id(), r.offer.GetMethod(), r.offer.GetPath(), r.offer.GetHeaders(), r.offer.GetBody())
-	result := a.engine.Run(r.ctx, call, r.buffer, progress{agent: a, run: r})
+	result := a.engine.Run(r.ctx, call, r.buffer, runObserver{agent: a, run: r})
 	outcome := result.Outcome()
 	if result.Cut() && a.upstreamDied(r) {
 		outcome = wire.End_OUTCOME_UPSTREAM_LOST
@@ -211,7 +211,7 @@
 		return &wire.Crash{Id: a.crashID(a.crashes), Fingerprints: fingerprints}
 	}
 	a.crashedAt = now
-	a.cached.Lost()
+	a.prefixCache.Lost()
 	a.crashes++
 	a.counts.Crashes++
 	a.suspects.Learn(now, suspect.NewCrash(a.crashID(a.crashes), now, fingerprints))
@@ -257,14 +257,14 @@
 	}
 }
 
-// progress reports a run's tokens to the agent.
-type progress struct {
+// runObserver reports a run's tokens to the agent.
+type runObserver struct {
 	agent *Agent
 	run   *run
 }
 
 // FirstToken implements engine.Observer.
-func (p progress) FirstToken(now time.Time) {
+func (p runObserver) FirstToken(now time.Time) {
 	p.agent.mu.Lock()
 	defer p.agent.mu.Unlock()
 	p.run.firstToken, p.run.lastToken = now, now
@@ -274,7 +274,7 @@
 }
 
 // Tokens implements engine.Observer.
-func (p progress) Tokens(now time.Time, count int) {
+func (p runObserver) Tokens(now time.Time, count int) {
 	p.agent.mu.Lock()
 	defer p.agent.mu.Unlock()
 	r := p.run
--- a/internal/role/agent/serve.go
+++ b/internal/role/agent/serve.go
@@ -68,14 +68,14 @@
 
 func (a *Agent) newRun(now time.Time, o *wire.Offer) *run {
 	ctx, cancel := context.WithCancel(a.ctx)
-	kept := 0
+	replayBytes := 0
 	if o.GetKeyed() {
-		kept = keyedReplayBytes
+		replayBytes = keyedReplayBytes
 	}
 	return &run{
 		offer:   o,
 		ticket:  a.ticket(now, o),
-		buffer:  answer.New(o.GetRequestId(), maxUnackedBytes, kept, a.invariants),
+		buffer:  answer.New(o.GetRequestId(), maxUnackedBytes, replayBytes, a.invariants),
 		ctx:     ctx,
 		cancel:  cancel,
 		decided: make(chan struct{}),
@@ -242,17 +242,17 @@
 	a.mu.Unlock()
 	if notRun != wire.Decline_REASON_UNSPECIFIED {
 		_ = a.send(stream, declineEnvelope(notRun, load))
-		a.linger(ctx)
+		a.awaitPeerClose(ctx)
 		return
 	}
 	_ = a.send(stream, endEnvelope(&wire.End{Outcome: end.GetOutcome(), Length: end.GetLength(), Detail: end.GetDetail(), Load: load, Crash: crash}))
-	a.linger(ctx)
+	a.awaitPeerClose(ctx)
 }
 
-// linger gives the entry time to close the stream first. Otherwise a late
+// awaitPeerClose gives the entry time to close the stream first. Otherwise a late
 // message of the entry would be answered by a reset, which could overtake the
 // agent's last message.
-func (a *Agent) linger(ctx context.Context) {
+func (a *Agent) awaitPeerClose(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(heartbeatInterval):
@@ -277,7 +277,7 @@
 			a.mu.Unlock()
 			if !started {
 				_ = a.send(stream, declineEnvelope(reason, load))
-				a.linger(ctx)
+				a.awaitPeerClose(ctx)
 			}
 			return started
 		case <-ctx.Done():
--- a/internal/role/entry/attempt.go
+++ b/internal/role/entry/attempt.go
@@ -77,8 +77,8 @@
 // several links.
 type attempt struct {
 	entry       *Entry
-	q           *request.Request
-	out         *output
+	request     *request.Request
+	output      *output
 	upstream    *member.Upstream
 	runID       string
 	incarnation uint64
@@ -111,7 +111,7 @@
 	}
 	a.current.Store(stream)
 	defer a.closeStream()
-	a.upstream.RecordSent(now, c.work, a.q.PrefixKey())
+	a.upstream.RecordSent(now, c.work, a.request.PrefixKey())
 	offer := &wire.Envelope{Body: &wire.Envelope_Offer{Offer: a.buildOffer(now, clock, c)}}
 	if err := stream.Send(now.Add(sendTimeout), offer); err != nil {
 		return a.follow(ctx, false)
@@ -123,7 +123,7 @@
 // so that an entry that was paused between decision and sending, or a link that
 // delivers late, cannot cause a dispatch after the caller has given up.
 func (a *attempt) buildOffer(now time.Time, clock uint64, c choice) *wire.Offer {
-	q := a.q
+	q := a.request
 	left := max(q.Deadline().Sub(now), 0)
 	horizon := min(max(left-c.work, 0), agent.StartHorizon)
 	offer := &wire.Offer{
@@ -178,14 +178,14 @@
 		a.entry.pool.Replace(a.upstream.Address(), a.current.Load().Session())
 		a.closeStream()
 		connected = false
-		a.entry.metrics.resumed.Inc()
+		a.entry.metrics.linksReplaced.Inc()
 	}
 }
 
 // watchCaller withdraws the request when its caller disconnects.
 func (a *attempt) watchCaller(ctx context.Context) func() {
 	stop := context.AfterFunc(ctx, func() {
-		a.withdraw(a.q.RepeatSafe())
+		a.withdraw(a.request.RepeatSafe())
 	})
 	return func() { stop() }
 }
@@ -209,8 +209,8 @@
 		stream, err := e.pool.Open(ctx, a.upstream.Address())
 		if err == nil {
 			a.current.Store(stream)
-			ask := &wire.Resume{RequestId: a.runID, Incarnation: a.incarnation, Offset: a.out.offset}
-			err = stream.Send(e.now().Add(time.Second), &wire.Envelope{Body: &wire.Envelope_Resume{Resume: ask}})
+			message := &wire.Resume{RequestId: a.runID, Incarnation: a.incarnation, Offset: a.output.offset}
+			err = stream.Send(e.now().Add(time.Second), &wire.Envelope{Body: &wire.Envelope_Resume{Resume: message}})
 			if err == nil {
 				return result{}, true
 			}
@@ -226,14 +226,14 @@
 }
 
 func (a *attempt) failedOrBroken() ending {
-	if a.out.started {
+	if a.output.started {
 		return broken
 	}
 	return failedEarly
 }
 
 func (a *attempt) lostOrBroken() ending {
-	if a.out.started {
+	if a.output.started {
 		return broken
 	}
 	return lost
@@ -259,13 +259,13 @@
 		allowed = silenceTimeout
 		a.upstream.RecordMessage(e.now())
 		if a.overdue(e.now()) {
-			a.withdraw(a.q.RepeatSafe())
+			a.withdraw(a.request.RepeatSafe())
 			return result{ending: a.lostOrBroken(), detail: "still running long after its deadline"}, true
 		}
 		r, over, err := a.handle(envelope)
 		switch {
 		case errors.Is(err, errCallerGone):
-			a.withdraw(a.q.RepeatSafe())
+			a.withdraw(a.request.RepeatSafe())
 			return result{ending: callerGone}, true
 		case errors.Is(err, errRetry):
 			a.withdraw(true)
@@ -278,7 +278,9 @@
 	}
 }
 
-func (a *attempt) overdue(now time.Time) bool { return now.After(a.q.Deadline().Add(overdueGrace)) }
+func (a *attempt) overdue(now time.Time) bool {
+	return now.After(a.request.Deadline().Add(overdueGrace))
+}
 
 // handle processes one message.
 func (a *attempt) handle(envelope *wire.Envelope) (result, bool, error) {
@@ -290,9 +292,9 @@
 		if a.mayRetry && body.Head.GetStatus() >= http.StatusInternalServerError {
 			return result{}, false, errRetry
 		}
-		a.out.setHead(body.Head)
+		a.output.setHead(body.Head)
 	case *wire.Envelope_Data:
-		if err := a.out.write(body.Data); err != nil {
+		if err := a.output.write(body.Data); err != nil {
 			return result{}, false, err
 		}
 		a.acknowledge()
@@ -316,10 +318,10 @@
 }
 
 func (a *attempt) acknowledge() {
-	if a.out.offset-a.acked < ackBytes {
+	if a.output.offset-a.acked < ackBytes {
 		return
 	}
-	a.acked = a.out.offset
+	a.acked = a.output.offset
 	ack := &wire.Envelope{Body: &wire.Envelope_Ack{Ack: &wire.Ack{Offset: a.acked}}}
 	// A failed send is noticed as silence by the next read.
 	_ = a.current.Load().Send(a.entry.now().Add(sendTimeout), ack)
@@ -342,10 +344,10 @@
 	a.dispatched()
 	r := result{outcome: end.GetOutcome(), detail: end.GetDetail()}
 	switch {
-	case end.GetOutcome() == wire.End_OUTCOME_ANSWERED && end.GetLength() == a.out.offset:
-		a.out.begin()
+	case end.GetOutcome() == wire.End_OUTCOME_ANSWERED && end.GetLength() == a.output.offset:
+		a.output.begin()
 		r.ending = answered
-	case a.out.started:
+	case a.output.started:
 		r.ending = broken
 	default:
 		r.ending = failedEarly
--- a/internal/role/entry/claims.go
+++ b/internal/role/entry/claims.go
@@ -152,26 +152,26 @@
 }
 
 // serve answers a request as the partition's owner.
-func (c *claims) serve(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
+func (c *claims) serve(ctx context.Context, message *wire.ClaimAsk) *wire.ClaimReply {
 	c.mu.Lock()
-	p := c.ownedPartition(int(ask.GetPartition()))
+	p := c.ownedPartition(int(message.GetPartition()))
 	c.mu.Unlock()
 	if p == nil {
 		return &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	return p.Handle(ctx, ask)
+	return p.Handle(ctx, message)
 }
 
 // request sends a request to the owner of the key's partition, here or on
 // another entry, and retries until the context ends. An UNAVAILABLE reply
 // grants nothing.
-func (c *claims) request(ctx context.Context, ask *wire.ClaimAsk) *wire.ClaimReply {
-	partition := claim.PartitionOf(ask.GetKey(), c.entry.settings.ClaimPartitions())
-	ask.Partition = uint32(partition)
+func (c *claims) request(ctx context.Context, message *wire.ClaimAsk) *wire.ClaimReply {
+	partition := claim.PartitionOf(message.GetKey(), c.entry.settings.ClaimPartitions())
+	message.Partition = uint32(partition)
 	for ctx.Err() == nil {
-		reply := c.requestOnce(ctx, partition, ask)
+		reply := c.requestOnce(ctx, partition, message)
 		if reply.GetState() != wire.ClaimReply_STATE_NOT_OWNER {
 			return reply
 		}
@@ -196,22 +196,22 @@
 	}
 }
 
-func (c *claims) requestOnce(ctx context.Context, partition int, ask *wire.ClaimAsk) *wire.ClaimReply {
+func (c *claims) requestOnce(ctx context.Context, partition int, message *wire.ClaimAsk) *wire.ClaimReply {
 	c.mu.Lock()
 	owner, owned := c.owners[partition], c.ownedPartition(partition) != nil
 	c.mu.Unlock()
 	if owned {
-		return c.serve(ctx, ask)
+		return c.serve(ctx, message)
 	}
 	if owner.Address == "" || owner.Node == c.entry.settings.Node() {
 		return &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	}
-	return c.requestFromPeer(ctx, owner.Address, ask)
+	return c.requestFromPeer(ctx, owner.Address, message)
 }
 
 // requestFromPeer sends the request to another entry, which counts as not the
 // owner if it is unreachable or does not answer.
-func (c *claims) requestFromPeer(ctx context.Context, address string, ask *wire.ClaimAsk) *wire.ClaimReply {
+func (c *claims) requestFromPeer(ctx context.Context, address string, message *wire.ClaimAsk) *wire.ClaimReply {
 	notOwner := &wire.ClaimReply{State: wire.ClaimReply_STATE_NOT_OWNER}
 	e := c.entry
 	stream, err := e.pool.Open(ctx, address)
@@ -220,7 +220,7 @@
 	}
 	defer func() { _ = stream.Close() }()
 	deadline := e.now().Add(ownerTimeout + time.Second)
-	err = stream.Send(deadline, &wire.Envelope{Body: &wire.Envelope_ClaimAsk{ClaimAsk: ask}})
+	err = stream.Send(deadline, &wire.Envelope{Body: &wire.Envelope_ClaimAsk{ClaimAsk: message}})
 	if err == nil {
 		var envelope *wire.Envelope
 		if envelope, err = stream.Receive(deadline); err == nil && envelope.GetClaimReply() != nil {
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -203,5 +203,5 @@
 	return err
 }
 
-// newID returns a request id that is unique in the fleet.
-func newID() string { return rand.Text() }
+// newRequestID returns a request id that is unique in the fleet.
+func newRequestID() string { return rand.Text() }
--- a/internal/role/entry/keyed.go
+++ b/internal/role/entry/keyed.go
@@ -19,8 +19,8 @@
 	// attachRetryInterval is the time between attempts to follow an action that
 	// another request runs.
 	attachRetryInterval = 150 * time.Millisecond
-	// maxUnreachable is how often a run may be unreachable before one more
-	// failure makes the caller be told that it may have run.
+	// maxUnreachable is the number of failures to reach a run after which one
+	// more ends the request as one that may have run.
 	maxUnreachable = 2
 	// claimRetryAfter is the Retry-After while claims cannot be written, and the
 	// time between attempts to store an outcome.
@@ -30,13 +30,13 @@
 // runKeyed serves an action that must not run twice: its key is claimed before
 // the dispatch, and a resend attaches to the run or replays its response.
 func (c *call) runKeyed(ctx context.Context) *refusal.Refusal {
-	c.out.recorder = &recorder{}
+	c.output.recorder = &recorder{}
 	k := &keyed{call: c}
 	for {
 		if refused, over := k.tryClaim(ctx); over {
 			return refused
 		}
-		if k.unreachable > maxUnreachable || c.entry.now().After(c.q.Deadline()) || ctx.Err() != nil {
+		if k.unreachable > maxUnreachable || c.entry.now().After(c.request.Deadline()) || ctx.Err() != nil {
 			return unfinishedRefusal()
 		}
 		wait.For(ctx, attachRetryInterval)
@@ -61,12 +61,12 @@
 	c := k.call
 	target, ok := c.reachable(ctx)
 	if !ok {
-		c.entry.logger.Info("no upstream to claim for", "node", c.entry.settings.Node(), "request", c.q.ID())
+		c.entry.logger.Info("no upstream to claim for", "node", c.entry.settings.Node(), "request", c.request.ID())
 		return k.refusalWithoutDispatch(c.refusalOf(result{ending: notRun})), true
 	}
 	target.incarnation = target.upstream.Incarnation()
 	reply := c.claim(ctx, target, k.replaces)
-	c.entry.logger.Info("claim answered", "request", c.q.ID(), "key", c.q.ClaimKey(), "state", reply.GetState().String(),
+	c.entry.logger.Info("claim answered", "request", c.request.ID(), "key", c.request.ClaimKey(), "state", reply.GetState().String(),
 		"holder", reply.GetRequestId(), "replaces", k.replaces.GetRequestId())
 	switch reply.GetState() {
 	case wire.ClaimReply_STATE_GRANTED:
@@ -129,17 +129,17 @@
 func (c *call) claim(ctx context.Context, next choice, replaces *wire.ClaimAsk_Replaced) *wire.ClaimReply {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	ask := c.claimRequest(wire.ClaimAsk_STEP_CLAIM, next)
-	ask.Replaces = replaces
-	return c.entry.claims.request(ctx, ask)
+	message := c.claimRequest(wire.ClaimAsk_STEP_CLAIM, next)
+	message.Replaces = replaces
+	return c.entry.claims.request(ctx, message)
 }
 
 func (c *call) claimRequest(step wire.ClaimAsk_Step, next choice) *wire.ClaimAsk {
-	ask := &wire.ClaimAsk{Step: step, Key: c.q.ClaimKey(), Fingerprint: c.q.Fingerprint(), RequestId: c.q.ID()}
+	message := &wire.ClaimAsk{Step: step, Key: c.request.ClaimKey(), Fingerprint: c.request.Fingerprint(), RequestId: c.request.ID()}
 	if next.upstream != nil {
-		ask.Upstream, ask.Incarnation = next.upstream.Name(), next.incarnation
+		message.Upstream, message.Incarnation = next.upstream.Name(), next.incarnation
 	}
-	return ask
+	return message
 }
 
 // runClaimed dispatches an action whose claim this request holds. Before each
@@ -171,24 +171,24 @@
 
 // record stores the outcome with the claim, in the background.
 func (c *call) record(r result) {
-	ask := c.claimRequest(wire.ClaimAsk_STEP_FINISH, choice{})
+	message := c.claimRequest(wire.ClaimAsk_STEP_FINISH, choice{})
 	switch r.ending {
 	case notRun:
-		ask.Step = wire.ClaimAsk_STEP_RELEASE
+		message.Step = wire.ClaimAsk_STEP_RELEASE
 	case answered:
-		ask.Answer = c.out.stored(wire.End_OUTCOME_ANSWERED)
+		message.Answer = c.output.stored(wire.End_OUTCOME_ANSWERED)
 	case broken, callerGone:
 		// The agent still has the complete response; a resend attaches to it.
 		return
 	default:
-		ask.Answer = c.out.stored(wire.End_OUTCOME_FAILED)
+		message.Answer = c.output.stored(wire.End_OUTCOME_FAILED)
 	}
 	e := c.entry
 	e.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(e.ctx, recordTimeout)
 		defer cancel()
 		for ctx.Err() == nil {
-			if e.claims.request(ctx, ask).GetState() != wire.ClaimReply_STATE_UNAVAILABLE {
+			if e.claims.request(ctx, message).GetState() != wire.ClaimReply_STATE_UNAVAILABLE {
 				return
 			}
 			wait.For(ctx, claimRetryAfter)
@@ -203,12 +203,12 @@
 		return result{ending: lost, detail: "the upstream that ran the request no longer exists"}
 	}
 	a := &attempt{
-		entry: c.entry, q: c.q, out: c.out, upstream: u, runID: reply.GetRequestId(),
+		entry: c.entry, request: c.request, output: c.output, upstream: u, runID: reply.GetRequestId(),
 		incarnation: reply.GetIncarnation(), dispatched: c.outcome.Dispatched,
 	}
 	r := a.attach(ctx)
-	if !c.out.started {
-		c.out.reset()
+	if !c.output.started {
+		c.output.reset()
 	}
 	return r
 }
@@ -219,11 +219,11 @@
 	if answer.GetOutcome() != wire.End_OUTCOME_ANSWERED || !answer.GetWhole() {
 		return refusal.New(refusal.Unfinished, refusal.MayHaveRun, "an earlier attempt with this key ran, and its response is not stored", "check whether it took effect")
 	}
-	c.out.setHead(&wire.Head{Status: answer.GetStatus(), Headers: answer.GetHeaders()})
-	c.out.recorder = nil
-	c.out.begin()
-	if err := c.out.write(&wire.Data{Bytes: answer.GetBody()}); err != nil {
-		return errGoneRefusal
+	c.output.setHead(&wire.Head{Status: answer.GetStatus(), Headers: answer.GetHeaders()})
+	c.output.recorder = nil
+	c.output.begin()
+	if err := c.output.write(&wire.Data{Bytes: answer.GetBody()}); err != nil {
+		return callerGoneRefusal
 	}
 	return nil
 }
--- a/internal/role/entry/peers.go
+++ b/internal/role/entry/peers.go
@@ -29,9 +29,9 @@
 
 // replaceVMs applies a new list of VMs.
 func (e *Entry) replaceVMs(vms []vmlist.VM) {
-	for _, gone := range e.table.Replace(vms) {
-		e.pool.Drop(gone.Address())
-		e.rollouts.forget(gone)
+	for _, removed := range e.table.Replace(vms) {
+		e.pool.Drop(removed.Address())
+		e.rollouts.removeReport(removed)
 	}
 	all := e.table.All()
 	e.logger.Debug("VM list applied", "upstreams", len(all), "entries", len(e.table.Entries()))
--- a/internal/role/entry/rollouts.go
+++ b/internal/role/entry/rollouts.go
@@ -191,8 +191,8 @@
 	m.reports[u.Name()] = r
 }
 
-// forget removes the report of an upstream that no longer exists.
-func (m *rollouts) forget(u *member.Upstream) {
+// removeReport removes the report of an upstream that no longer exists.
+func (m *rollouts) removeReport(u *member.Upstream) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.reports, u.Name())
--- a/internal/role/entry/rollouts_test.go
+++ b/internal/role/entry/rollouts_test.go
@@ -22,8 +22,8 @@
 	require.True(t, ok)
 	m.recordReport(old, &wire.Notice{Load: &wire.Load{Incarnation: 1, Blocked: wire.Decline_REASON_BRAKED}})
 	require.Len(t, m.reports, 1)
-	for _, gone := range table.Replace([]vmlist.VM{vmlist.NewAgent("tutor-2", "tutor", "easel-2", "b:1", "d", 1)}) {
-		m.forget(gone)
+	for _, removed := range table.Replace([]vmlist.VM{vmlist.NewAgent("tutor-2", "tutor", "easel-2", "b:1", "d", 1)}) {
+		m.removeReport(removed)
 	}
 	require.Empty(t, m.reports)
 }
--- a/internal/role/entry/search.go
+++ b/internal/role/entry/search.go
@@ -29,9 +29,9 @@
 	call *call
 	// declined holds upstreams that will not run the request.
 	declined map[string]bool
-	// left holds upstreams that handed the request back after its patience.
-	left      map[string]bool
-	handbacks int
+	// handedBack holds upstreams that handed the request back after its patience.
+	handedBack map[string]bool
+	handbacks  int
 	// restartDeadline ends the wait for agents that are being replaced. It is
 	// zero until one was found.
 	restartDeadline time.Time
@@ -43,7 +43,7 @@
 }
 
 func newSearch(c *call) *search {
-	return &search{call: c, declined: make(map[string]bool), left: make(map[string]bool), noHandback: c.q.Keyed()}
+	return &search{call: c, declined: make(map[string]bool), handedBack: make(map[string]bool), noHandback: c.request.Keyed()}
 }
 
 // find returns the best upstream that may still run the request. While all such
@@ -51,7 +51,7 @@
 func (s *search) find(ctx context.Context) (choice, bool) {
 	for {
 		now := s.call.entry.now()
-		next, ok := s.next(now)
+		next, ok := s.nextCandidate(now)
 		if ok || ctx.Err() != nil || !s.mayReturn(now) {
 			return next, ok
 		}
@@ -62,10 +62,10 @@
 // mayReturn reports whether the agent of an upstream that has not declined the
 // request is probably being replaced, and there is time to wait for it.
 func (s *search) mayReturn(now time.Time) bool {
-	if !s.awaitsRestart(now) || now.After(s.call.q.Deadline()) {
+	if !s.awaitsRestart(now) || now.After(s.call.request.Deadline()) {
 		return false
 	}
-	for _, u := range s.call.entry.table.Service(s.call.q.Service().Name()) {
+	for _, u := range s.call.entry.table.Service(s.call.request.Service().Name()) {
 		if !s.declined[u.Name()] && u.Restarting(now, restartWait) {
 			return true
 		}
@@ -82,26 +82,26 @@
 	return now.Before(s.restartDeadline)
 }
 
-// next plans again, as each decline updates the load of an upstream, and
+// nextCandidate plans again, as each decline updates the load of an upstream, and
 // returns the best upstream that may still run the request.
-func (s *search) next(now time.Time) (choice, bool) {
-	plan := s.call.entry.plan(now, s.call.q, s.call.doc, s.wide)
+func (s *search) nextCandidate(now time.Time) (choice, bool) {
+	plan := s.call.entry.plan(now, s.call.request, s.call.doc, s.wide)
 	for _, c := range plan {
 		name := c.upstream.Name()
-		if !s.declined[name] && !s.left[name] && len(s.declined) < maxCandidates {
+		if !s.declined[name] && !s.handedBack[name] && len(s.declined) < maxCandidates {
 			return c, true
 		}
 	}
 	if !s.wide {
 		s.wide = true
-		return s.next(now)
+		return s.nextCandidate(now)
 	}
-	if len(s.left) == 0 {
+	if len(s.handedBack) == 0 {
 		return choice{}, false
 	}
-	clear(s.left)
+	clear(s.handedBack)
 	s.handbacks = maxHandbacks
-	return s.next(now)
+	return s.nextCandidate(now)
 }
 
 // patience returns how long the request may wait in the queue there before it
@@ -118,7 +118,7 @@
 func (s *search) recordDecline(now time.Time, c choice, reason wire.Decline_Reason) {
 	switch {
 	case reason == wire.Decline_REASON_PATIENCE:
-		s.left[c.upstream.Name()] = true
+		s.handedBack[c.upstream.Name()] = true
 		s.handbacks++
 	case agentReplaced(reason) && s.awaitsRestart(now):
 		// The process that replaces the agent may run it.
--- a/internal/role/entry/serve.go
+++ b/internal/role/entry/serve.go
@@ -40,9 +40,9 @@
 // call is the state of one caller's request.
 type call struct {
 	entry   *Entry
-	q       *request.Request
+	request *request.Request
 	doc     document.Document
-	out     *output
+	output  *output
 	outcome *outcome.Outcome
 	retried bool
 	// retryAfter is the shortest queueing time that a declining upstream
@@ -53,7 +53,7 @@
 }
 
 func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
-	now, id := e.now(), newID()
+	now, id := e.now(), newRequestID()
 	w.Header().Set(request.HeaderRequestID, id)
 	doc, revision := e.log.Current()
 	if revision == 0 {
@@ -66,8 +66,8 @@
 		refused.Write(w, id)
 		return
 	}
-	c := &call{entry: e, q: q, doc: doc, outcome: outcome.New(id, e.invariants)}
-	c.out = newOutput(id, w, e.invariants, e.now)
+	c := &call{entry: e, request: q, doc: doc, outcome: outcome.New(id, e.invariants)}
+	c.output = newOutput(id, w, e.invariants, e.now)
 	e.metrics.inFlight.Inc()
 	defer e.metrics.inFlight.Dec()
 	refused = c.run(r.Context())
@@ -78,10 +78,10 @@
 // response.
 func (c *call) run(ctx context.Context) *refusal.Refusal {
 	now := c.entry.now()
-	if c.entry.suspects.Standing(now, c.q.Fingerprint()) == suspect.Convicted {
+	if c.entry.suspects.Standing(now, c.request.Fingerprint()) == suspect.Convicted {
 		return convictedRefusal()
 	}
-	if c.q.Keyed() {
+	if c.request.Keyed() {
 		return c.runKeyed(ctx)
 	}
 	r := c.dispatch(ctx, func(choice) bool { return true })
@@ -93,32 +93,32 @@
 	e, now := c.entry, c.entry.now()
 	kind := outcome.Answered
 	switch {
-	case refused == errGoneRefusal:
+	case refused == callerGoneRefusal:
 		kind = outcome.CallerGone
 	case refused != nil && refused.Ran() == refusal.NotRun:
 		kind = outcome.NotRun
 	case refused != nil:
 		kind = outcome.MayHaveRun
-	case now.After(c.q.Deadline()):
+	case now.After(c.request.Deadline()):
 		kind = outcome.Late
 	}
 	c.outcome.Settle(kind)
 	e.metrics.observe(c, kind, refused)
-	e.logger.Info("request ended", "request", c.q.ID(), "workspace", c.q.Workspace(), "action", c.q.Action().Route(),
-		"tier", c.q.Tier(), "outcome", string(kind), "took", now.Sub(c.q.Arrived()).Round(time.Millisecond), "bytes", c.out.offset)
+	e.logger.Info("request ended", "request", c.request.ID(), "workspace", c.request.Workspace(), "action", c.request.Action().Route(),
+		"tier", c.request.Tier(), "outcome", string(kind), "took", now.Sub(c.request.Arrived()).Round(time.Millisecond), "bytes", c.output.offset)
 	if refused == nil || kind == outcome.CallerGone {
 		return
 	}
-	if c.out.started {
+	if c.output.started {
 		// The response ended early after its first byte: the connection is
 		// aborted, so that the caller does not take it for complete.
 		panic(http.ErrAbortHandler)
 	}
-	refused.Write(w, c.q.ID())
+	refused.Write(w, c.request.ID())
 }
 
-// errGoneRefusal marks that the caller has disconnected; it is never sent.
-var errGoneRefusal = refusal.New(refusal.Lost, refusal.MayHaveRun, "caller disconnected", "none")
+// callerGoneRefusal marks that the caller has disconnected; it is never sent.
+var callerGoneRefusal = refusal.New(refusal.Lost, refusal.MayHaveRun, "caller disconnected", "none")
 
 // dispatch offers the request to one upstream after another until one answers.
 // It tries the next only after proof that the last one did not run the request
@@ -131,7 +131,7 @@
 	for {
 		next, ok := s.find(ctx)
 		now := e.now()
-		if !ok || now.After(c.q.Deadline()) {
+		if !ok || now.After(c.request.Deadline()) {
 			return last
 		}
 		next.patience = s.patience(next)
@@ -144,7 +144,7 @@
 		}
 		switch {
 		case r.ending == notRun:
-			e.logger.Info("offer not run", "node", e.settings.Node(), "request", c.q.ID(), "upstream", next.upstream.Name(),
+			e.logger.Info("offer not run", "node", e.settings.Node(), "request", c.request.ID(), "upstream", next.upstream.Name(),
 				"reason", r.reason.String(), "incarnation", next.incarnation)
 			s.recordDecline(e.now(), next, r.reason)
 			c.recordDecline(next, r)
@@ -152,7 +152,7 @@
 		case r.ending == failedEarly && c.mayRunAgain(now):
 			s.recordDecline(e.now(), next, wire.Decline_REASON_UNSPECIFIED)
 			c.retried = true
-			c.out.reset()
+			c.output.reset()
 			last = r
 		default:
 			return r
@@ -162,8 +162,8 @@
 
 func (c *call) try(ctx context.Context, next choice) result {
 	e := c.entry
-	e.rollouts.checkShare(c.q, next.upstream, c.doc)
-	a := &attempt{entry: e, q: c.q, out: c.out, upstream: next.upstream, runID: c.q.ID(), dispatched: c.outcome.Dispatched, mayRetry: c.q.RepeatSafe() && !c.retried}
+	e.rollouts.checkShare(c.request, next.upstream, c.doc)
+	a := &attempt{entry: e, request: c.request, output: c.output, upstream: next.upstream, runID: c.request.ID(), dispatched: c.outcome.Dispatched, mayRetry: c.request.RepeatSafe() && !c.retried}
 	started := e.now()
 	r := a.offer(ctx, next)
 	e.metrics.offered(r)
@@ -179,25 +179,25 @@
 		return
 	}
 	took := now.Sub(started)
-	failed := r.ending != answered || c.out.head.GetStatus() >= http.StatusInternalServerError
+	failed := r.ending != answered || c.output.head.GetStatus() >= http.StatusInternalServerError
 	if r.ending == answered {
 		length := int(took.Milliseconds())
-		if c.q.Service().Kind() == inventory.Model {
-			length = c.out.tokens()
+		if c.request.Service().Kind() == inventory.Model {
+			length = c.output.tokens()
 		}
-		e.forecast.Observe(now, route(c.q), length)
+		e.forecast.Observe(now, route(c.request), length)
 	}
-	e.rollouts.observe(c.q, next.upstream, failed)
+	e.rollouts.observe(c.request, next.upstream, failed)
 }
 
 // mayRunAgain reports whether an ended run may be followed by another: the
 // rules allow it, the caller got no byte, it is the first retry, and the retry
 // budget is not exhausted.
 func (c *call) mayRunAgain(now time.Time) bool {
-	if !c.q.RepeatSafe() || c.out.started || c.retried || now.After(c.q.Deadline()) {
+	if !c.request.RepeatSafe() || c.output.started || c.retried || now.After(c.request.Deadline()) {
 		return false
 	}
-	if c.entry.suspects.Standing(now, c.q.Fingerprint()) == suspect.Convicted {
+	if c.entry.suspects.Standing(now, c.request.Fingerprint()) == suspect.Convicted {
 		return false
 	}
 	return c.entry.retries.Take(now, 1, 0)
@@ -215,7 +215,7 @@
 	if len(waits) == 0 {
 		return
 	}
-	wait := time.Duration(waits[min(c.q.Tier(), len(waits)-1)]) * time.Millisecond
+	wait := time.Duration(waits[min(c.request.Tier(), len(waits)-1)]) * time.Millisecond
 	if c.retryAfter == 0 || wait < c.retryAfter {
 		c.retryAfter = wait
 	}
@@ -228,16 +228,16 @@
 		c.entry.retries.Earn(c.doc.Rules().RetryBudget())
 		return nil
 	case callerGone:
-		return errGoneRefusal
+		return callerGoneRefusal
 	case notRun:
 		if c.retried {
 			return refusal.New(refusal.Failed, refusal.MayHaveRun, "the upstream failed, and no other accepted the request", "send it again; its action is safe to repeat").RetryAfter(c.retryAfterHint())
 		}
 		return c.notRunRefusal(r)
 	case failedEarly:
-		return refusal.New(refusal.Failed, refusal.MayHaveRun, "the upstream failed: "+orUnknown(r.detail), "check whether it took effect before sending it again")
+		return refusal.New(refusal.Failed, refusal.MayHaveRun, "the upstream failed: "+detailOrDefault(r.detail), "check whether it took effect before sending it again")
 	}
-	return refusal.New(refusal.Lost, refusal.MayHaveRun, "the response was lost: "+orUnknown(r.detail), "check whether it took effect before sending it again")
+	return refusal.New(refusal.Lost, refusal.MayHaveRun, "the response was lost: "+detailOrDefault(r.detail), "check whether it took effect before sending it again")
 }
 
 func (c *call) notRunRefusal(r result) *refusal.Refusal {
@@ -246,7 +246,7 @@
 	case r.reason == wire.Decline_REASON_CONVICTED:
 		return convictedRefusal()
 	case c.declines == 0 && r.reason == wire.Decline_REASON_UNSPECIFIED:
-		return refusal.New(refusal.NoUpstream, refusal.NotRun, "no upstream of "+c.q.Service().Name()+" is reachable", "try again shortly").RetryAfter(after)
+		return refusal.New(refusal.NoUpstream, refusal.NotRun, "no upstream of "+c.request.Service().Name()+" is reachable", "try again shortly").RetryAfter(after)
 	case c.tooLate == c.declines:
 		return refusal.New(refusal.TooLate, refusal.NotRun, "no upstream can finish it by its deadline", "try again later, or allow more time").RetryAfter(after)
 	}
@@ -262,7 +262,7 @@
 	return refusal.New(refusal.Convicted, refusal.NotRun, "an identical request has crashed two upstreams", "do not send it again; change it or report it")
 }
 
-func orUnknown(detail string) string {
+func detailOrDefault(detail string) string {
 	if detail == "" {
 		return "no details were reported"
 	}
--- a/internal/role/entry/status.go
+++ b/internal/role/entry/status.go
@@ -95,28 +95,28 @@
 
 // metrics holds the collectors that /metrics exposes.
 type metrics struct {
-	registry  *prometheus.Registry
-	outcomes  *prometheus.CounterVec
-	refusals  *prometheus.CounterVec
-	offers    *prometheus.CounterVec
-	firstByte *prometheus.HistogramVec
-	resumed   prometheus.Counter
-	inFlight  prometheus.Gauge
+	registry      *prometheus.Registry
+	outcomes      *prometheus.CounterVec
+	refusals      *prometheus.CounterVec
+	offers        *prometheus.CounterVec
+	firstByte     *prometheus.HistogramVec
+	linksReplaced prometheus.Counter
+	inFlight      prometheus.Gauge
 }
 
 func newMetrics(e *Entry) *metrics {
 	m := &metrics{
-		registry:  prometheus.NewRegistry(),
-		outcomes:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_requests_total", Help: "Requests by tier and outcome."}, []string{"tier", "outcome"}),
-		refusals:  prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_refusals_total", Help: "Refusals by kind."}, []string{"kind", "ran"}),
-		offers:    prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_offers_total", Help: "Offers by result."}, []string{"reason"}),
-		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "persimmonridge_first_byte_seconds", Help: "Time to the first byte of answers.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}, []string{"tier"}),
-		resumed:   prometheus.NewCounter(prometheus.CounterOpts{Name: "persimmonridge_links_replaced_total", Help: "Links replaced during a request."}),
-		inFlight:  prometheus.NewGauge(prometheus.GaugeOpts{Name: "persimmonridge_requests_in_flight", Help: "Requests in progress."}),
+		registry:      prometheus.NewRegistry(),
+		outcomes:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_requests_total", Help: "Requests by tier and outcome."}, []string{"tier", "outcome"}),
+		refusals:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_refusals_total", Help: "Refusals by kind."}, []string{"kind", "ran"}),
+		offers:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_offers_total", Help: "Offers by result."}, []string{"reason"}),
+		firstByte:     prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "persimmonridge_first_byte_seconds", Help: "Time to the first byte of answers.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}, []string{"tier"}),
+		linksReplaced: prometheus.NewCounter(prometheus.CounterOpts{Name: "persimmonridge_links_replaced_total", Help: "Links replaced during a request."}),
+		inFlight:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "persimmonridge_requests_in_flight", Help: "Requests in progress."}),
 	}
 	breaches := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_invariant_breaches", Help: "Invariant violations detected."}, func() float64 { return float64(e.invariants.Total()) })
 	revision := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_config_revision", Help: "Configuration revision in force."}, func() float64 { return float64(e.log.Revision()) })
-	m.registry.MustRegister(m.outcomes, m.refusals, m.offers, m.firstByte, m.resumed, m.inFlight, breaches, revision)
+	m.registry.MustRegister(m.outcomes, m.refusals, m.offers, m.firstByte, m.linksReplaced, m.inFlight, breaches, revision)
 	return m
 }
 
@@ -125,10 +125,10 @@
 }
 
 func (m *metrics) observe(c *call, kind outcome.Kind, refused *refusal.Refusal) {
-	tier := strconv.Itoa(c.q.Tier())
+	tier := strconv.Itoa(c.request.Tier())
 	m.outcomes.WithLabelValues(tier, string(kind)).Inc()
-	if c.out.started {
-		m.firstByte.WithLabelValues(tier).Observe(c.out.firstAt.Sub(c.q.Arrived()).Seconds())
+	if c.output.started {
+		m.firstByte.WithLabelValues(tier).Observe(c.output.firstAt.Sub(c.request.Arrived()).Seconds())
 	}
 	if refused != nil && kind != outcome.CallerGone {
 		m.refused(refused)
