--- a/cmd/persimmonridge/gateway.go
+++ b/cmd/persimmonridge/gateway.go
@@ -57,8 +57,8 @@
 	debug.SetMemoryLimit(int64(float64(node.MemoryBytes) * memoryLimitShare))
 	g := gateway.New(gateway.Parts{
 		Settings: gatewaySettings(node), Store: platform.NewStore(node.Store, dial.Dialer{}.DialContext),
-		Decoder: platform.Decoder{}, Translator: platform.Headers{}, Names: platform.AnswerNames(),
-		Dialer: dial.Dialer{}, Listen: net.Listen, Logger: logger, LeftOut: handler.LeftOut, Now: time.Now,
+		Decoder: platform.Decoder{}, Translator: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(),
+		Dialer: dial.Dialer{}, Listen: net.Listen, Logger: logger, OmittedLogLines: handler.LeftOut, Now: time.Now,
 	})
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -95,11 +95,11 @@
 
 func gatewaySettings(node platform.Node) gateway.Settings {
 	return gateway.Settings{
-		Name: node.Name, Domain: node.Domain, Callers: node.Callers, Readiness: node.Readiness,
-		Links: node.Links, Metrics: node.Metrics, Seeds: node.Seeds, Grace: node.Grace, Apply: node.Apply,
-		Processor: node.Processor,
-		Retry:     retry.Settings{Share: node.RetryShare, Slack: node.RetrySlack, Window: node.RetryWindow},
-		Quota:     quota.Options{Full: node.First, Slack: node.QuotaSlack, Over: node.QuotaOver, Window: node.QuotaWindow},
+		Name: node.Name, Domain: node.Domain, CallerAddress: node.CallerAddress, ReadinessAddress: node.ReadinessAddress,
+		LinkAddress: node.LinkAddress, MetricsAddress: node.MetricsAddress, SeedAddresses: node.SeedAddresses, GracePeriod: node.GracePeriod, ConfigApplyLimit: node.ConfigApplyLimit,
+		CPUCores:  node.CPUCores,
+		Retry:     retry.Settings{Share: node.RetryRatio, Slack: node.RetrySlack, Window: node.RetryWindow},
+		Quota:     quota.Options{Full: node.Bootstrap, Slack: node.QuotaSlack, Over: node.QuotaExcessFraction, Window: node.QuotaWindow},
 		ConfigKey: platform.ConfigPrefix, UpstreamPrefix: platform.UpstreamPrefix, OrderPrefix: platform.RolloutPrefix,
 	}
 }
--- a/internal/edge/flow/ending.go
+++ b/internal/edge/flow/ending.go
@@ -148,7 +148,7 @@
 // gaps between events.
 func (c *call) late(took time.Duration) bool {
 	if c.route.Kind != catalog.Streaming {
-		return took > c.route.Objective
+		return took > c.route.LatencyTarget
 	}
-	return c.placementWait+c.firstEvent > c.route.Objective || (c.route.MaxGap > 0 && c.longestGap > c.route.MaxGap)
+	return c.placementWait+c.firstEvent > c.route.LatencyTarget || (c.route.MaxGap > 0 && c.longestGap > c.route.MaxGap)
 }
--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -222,7 +222,7 @@
 // it still applied, the scheduler would refuse to resume a stream whose engine
 // crashed, as too late, although its caller still waits for the rest.
 func (c *call) nextEventDue(now time.Time) time.Time {
-	due := c.arrivedAt.Add(c.route.Objective)
+	due := c.arrivedAt.Add(c.route.LatencyTarget)
 	if c.attempts == 0 {
 		return due
 	}
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -77,7 +77,7 @@
 	var dialer net.Dialer
 	pool := exchange.NewPool(dialer.DialContext)
 	handler := flow.New(flow.Parts{
-		Translator: platform.Headers{}, Client: exchange.NewClient(pool, platform.AnswerNames(), time.Now),
+		Translator: platform.Headers{}, Client: exchange.NewClient(pool, platform.AnswerHeaders(), time.Now),
 		Catalog: func() *catalog.Catalog {
 			if f.content.Version == 0 {
 				return nil
@@ -316,7 +316,7 @@
 // anyway.
 func TestResumedStreamGetsANewDueTime(t *testing.T) {
 	f := newFixture(t)
-	f.content.Routes[2].Objective = 10 * time.Millisecond
+	f.content.Routes[2].LatencyTarget = 10 * time.Millisecond
 	f.addUpstream("one", brokenStream)
 	f.addUpstream("two", streamHeader+"id: 2\ndata: b\n\n")
 	_, _, err := f.call("/long/x")
--- a/internal/fleet/mesh/agree_test.go
+++ b/internal/fleet/mesh/agree_test.go
@@ -60,7 +60,7 @@
 				n.Return(gatewayName(i))
 				p := startProcess(t, n, gatewayName(i), uint64(i+1), &wire.Gossip{Rank: int64(i + 1), Ready: true})
 				for other := range size {
-					p.mesh.KnowRanked(time.Now(), gatewayName(other), int64(other+1))
+					p.mesh.AddRankedPeer(time.Now(), gatewayName(other), int64(other+1))
 				}
 				all = append(all, p)
 			}
--- a/internal/fleet/mesh/begin_test.go
+++ b/internal/fleet/mesh/begin_test.go
@@ -25,11 +25,11 @@
 		wg.Go(func() { require.NoError(t, m.Run(ctx)) })
 		wg.Go(func() {
 			for i := range 50 {
-				m.Know(time.Now(), fmt.Sprintf("b%d:1", i))
+				m.AddPeer(time.Now(), fmt.Sprintf("b%d:1", i))
 			}
 			cancel()
 			for i := range 50 {
-				m.Know(time.Now(), fmt.Sprintf("c%d:1", i))
+				m.AddPeer(time.Now(), fmt.Sprintf("c%d:1", i))
 			}
 		})
 		wg.Wait()
--- a/internal/fleet/mesh/heard.go
+++ b/internal/fleet/mesh/heard.go
@@ -17,9 +17,9 @@
 }
 
 func (m *Mesh) handleGossip(now time.Time, from sender, g *wire.Gossip) {
-	m.Know(now, from.address)
+	m.AddPeer(now, from.address)
 	for _, heard := range g.Known {
-		m.KnowRanked(now, heard.Address, heard.Rank)
+		m.AddRankedPeer(now, heard.Address, heard.Rank)
 	}
 	if g.Gone {
 		if m.recordExit(now, from, g) {
@@ -45,7 +45,7 @@
 	first := p != nil && !p.isStaleRun(now, g.Run, timeout) && p.markExited(from, g.Run)
 	m.mu.Unlock()
 	if first {
-		m.handler.Down(now, from.node)
+		m.handler.PeerDown(now, from.node)
 	}
 	return first
 }
@@ -74,9 +74,9 @@
 	}
 	m.mu.Unlock()
 	if restarted {
-		m.handler.Down(now, from.node)
+		m.handler.PeerDown(now, from.node)
 	}
-	m.handler.Heard(now, from.node, g)
+	m.handler.HandleGossip(now, from.node, g)
 	return p, recovered, restarted
 }
 
@@ -138,7 +138,7 @@
 	}
 	m.mu.Unlock()
 	for _, node := range down {
-		m.handler.Down(now, node)
+		m.handler.PeerDown(now, node)
 	}
 	return slices.DeleteFunc(down, func(node string) bool { return disconnected[node] })
 }
--- a/internal/fleet/mesh/hubs.go
+++ b/internal/fleet/mesh/hubs.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// Hub reports whether this process is a hub: all others exchange gossip with it, so
+// IsHub reports whether this process is a hub: all others exchange gossip with it, so
 // it hears every process that is alive.
-func (m *Mesh) Hub() bool {
+func (m *Mesh) IsHub() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hub
@@ -142,18 +142,18 @@
 	return len(m.Alive(now)) + 1, m.ActivePeerCount() + 1
 }
 
-// Hurry sends the next gossip without waiting for the interval, after a change that
+// GossipNow sends the next gossip without waiting for the interval, after a change that
 // peers should learn of soon.
-func (m *Mesh) Hurry() {
+func (m *Mesh) GossipNow() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-// KnowRanked adds the process at the address as a peer and sets its advertised rank.
-func (m *Mesh) KnowRanked(now time.Time, address string, rank int64) {
-	m.Know(now, address)
+// AddRankedPeer adds the process at the address as a peer and sets its advertised rank.
+func (m *Mesh) AddRankedPeer(now time.Time, address string, rank int64) {
+	m.AddPeer(now, address)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peers[address]; p != nil && rank > 0 {
--- a/internal/fleet/mesh/hubs_test.go
+++ b/internal/fleet/mesh/hubs_test.go
@@ -23,7 +23,7 @@
 	}
 	for _, p := range all {
 		for i := range size {
-			p.mesh.KnowRanked(time.Now(), gatewayName(i), int64(i+1))
+			p.mesh.AddRankedPeer(time.Now(), gatewayName(i), int64(i+1))
 		}
 	}
 	return all
@@ -79,7 +79,7 @@
 		}
 		bubble.Pass(3 * time.Second)
 		require.Len(t, all[lost].mesh.Alive(time.Now()), size-lost-1)
-		require.True(t, all[lost].mesh.Hub())
+		require.True(t, all[lost].mesh.IsHub())
 		for i := lost + 1; i < size; i++ {
 			first, _ := all[i].handler.gossipFrom(gatewayName(lost))
 			require.NotNil(t, first, "gateway %d", i)
@@ -104,7 +104,7 @@
 		all[0].handler.mu.Lock()
 		all[0].handler.sent = &wire.Gossip{Rank: 1, Ready: true, ChangeRevision: 99}
 		all[0].handler.mu.Unlock()
-		all[0].mesh.Hurry()
+		all[0].mesh.GossipNow()
 		bubble.Pass(30 * time.Millisecond)
 		for i := 1; i < size; i++ {
 			got, _ := all[i].handler.gossipFrom(gatewayName(0))
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -65,14 +65,14 @@
 
 // Handler handles messages from peers. Its methods must not block.
 type Handler interface {
-	// Gossip fills in the state that this process sends to its peers.
-	Gossip(now time.Time, g *wire.Gossip)
-	// Heard handles gossip from a peer.
-	Heard(now time.Time, peer string, g *wire.Gossip)
-	// Receive handles any other message.
-	Receive(now time.Time, peer string, e *wire.Envelope)
-	// Down reports that a peer's process has failed, exited or restarted.
-	Down(now time.Time, peer string)
+	// FillGossip fills in the state that this process sends to its peers.
+	FillGossip(now time.Time, g *wire.Gossip)
+	// HandleGossip handles gossip from a peer.
+	HandleGossip(now time.Time, peer string, g *wire.Gossip)
+	// HandleMessage handles any other message.
+	HandleMessage(now time.Time, peer string, e *wire.Envelope)
+	// PeerDown reports that a peer's process has failed, exited or restarted.
+	PeerDown(now time.Time, peer string)
 }
 
 // Peer is the state of another gateway.
@@ -183,8 +183,8 @@
 	m.closed = true
 }
 
-// Know adds the process at the address as a peer.
-func (m *Mesh) Know(now time.Time, address string) {
+// AddPeer adds the process at the address as a peer.
+func (m *Mesh) AddPeer(now time.Time, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if address == m.address || address == "" || m.closed {
@@ -197,7 +197,7 @@
 	}
 	p = &peer{Peer: Peer{Address: address}, address: address, queue: make(chan *wire.Envelope, sendQueueLength), lastAdvertised: now, advertisedRank: unknownRank}
 	m.peers[address] = p
-	m.Hurry()
+	m.GossipNow()
 }
 
 func (m *Mesh) startSenderLocked(p *peer) {
@@ -314,7 +314,7 @@
 			continue
 		}
 		if from.node != "" {
-			m.handler.Receive(now, from.node, envelope)
+			m.handler.HandleMessage(now, from.node, envelope)
 		}
 	}
 }
@@ -332,8 +332,8 @@
 	return peers
 }
 
-// Known returns the number of other gateways, heard or not.
-func (m *Mesh) Known() int {
+// PeerCount returns the number of other gateways, heard or not.
+func (m *Mesh) PeerCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.peers)
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -27,7 +27,7 @@
 	count int
 }
 
-func (h *recordingHandler) Gossip(_ time.Time, g *wire.Gossip) {
+func (h *recordingHandler) FillGossip(_ time.Time, g *wire.Gossip) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	run := g.Run
@@ -37,7 +37,7 @@
 	}
 }
 
-func (h *recordingHandler) Heard(now time.Time, peer string, g *wire.Gossip) {
+func (h *recordingHandler) HandleGossip(now time.Time, peer string, g *wire.Gossip) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.received[peer] == nil {
@@ -47,8 +47,8 @@
 	h.count++
 }
 
-func (h *recordingHandler) Receive(time.Time, string, *wire.Envelope) {}
-func (h *recordingHandler) Down(time.Time, string)                    {}
+func (h *recordingHandler) HandleMessage(time.Time, string, *wire.Envelope) {}
+func (h *recordingHandler) PeerDown(time.Time, string)                      {}
 
 func (h *recordingHandler) gossipFrom(peer string) (*wire.Gossip, time.Time) {
 	h.mu.Lock()
@@ -74,7 +74,7 @@
 	p.mesh = m
 	p.server = link.Serve(listener, m.Serve)
 	for _, peer := range peers {
-		m.Know(time.Now(), peer)
+		m.AddPeer(time.Now(), peer)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	p.cancel = cancel
--- a/internal/fleet/mesh/order_test.go
+++ b/internal/fleet/mesh/order_test.go
@@ -25,11 +25,11 @@
 	down, aliveWhenDown int
 }
 
-func (c *downCounter) Gossip(_ time.Time, g *wire.Gossip)        { g.Ready = true }
-func (c *downCounter) Heard(time.Time, string, *wire.Gossip)     {}
-func (c *downCounter) Receive(time.Time, string, *wire.Envelope) {}
+func (c *downCounter) FillGossip(_ time.Time, g *wire.Gossip)          { g.Ready = true }
+func (c *downCounter) HandleGossip(time.Time, string, *wire.Gossip)    {}
+func (c *downCounter) HandleMessage(time.Time, string, *wire.Envelope) {}
 
-func (c *downCounter) Down(time.Time, string) {
+func (c *downCounter) PeerDown(time.Time, string) {
 	alive := len(c.mesh.Alive(time.Now()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,7 @@
 		require.NoError(t, err)
 		counter.mesh = mesh.New("a:1", "a:1", 1, n, counter, slog.New(slowWarnings{slog.DiscardHandler}), time.Now)
 		server := link.Serve(listener, counter.mesh.Serve)
-		counter.mesh.Know(time.Now(), "b:1")
+		counter.mesh.AddPeer(time.Now(), "b:1")
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- counter.mesh.Run(ctx) }()
--- a/internal/fleet/mesh/tell.go
+++ b/internal/fleet/mesh/tell.go
@@ -24,7 +24,7 @@
 func (m *Mesh) currentGossip() gossipState {
 	now := m.now()
 	state := gossipState{now: now, gossip: &wire.Gossip{Run: m.run}, heard: m.heardPeers(now), livenessTimeout: m.livenessTimeout()}
-	m.handler.Gossip(now, state.gossip)
+	m.handler.FillGossip(now, state.gossip)
 	heardDigest, crashesDigest := xxhash.New(), xxhash.New()
 	for _, heard := range state.heard {
 		_, _ = heardDigest.WriteString(heard.Address) // a digest's Write never fails
@@ -93,13 +93,13 @@
 	enqueue(p, &wire.Envelope{Body: &wire.Envelope_Gossip{Gossip: gossip}})
 }
 
-// Farewell tells all peers without delay that this process is shutting down.
-func (m *Mesh) Farewell() { m.gossipToAll() }
+// AnnounceLeaving tells all peers without delay that this process is shutting down.
+func (m *Mesh) AnnounceLeaving() { m.gossipToAll() }
 
-// Gone tells all peers that the process exits now, and waits for the message to be
+// AnnounceExit tells all peers that the process exits now, and waits for the message to be
 // sent. Peers that had to detect its silence would send it place requests, and wait
 // for them, for another half second.
-func (m *Mesh) Gone() {
+func (m *Mesh) AnnounceExit() {
 	m.mu.Lock()
 	m.exiting = true
 	m.mu.Unlock()
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -138,15 +138,15 @@
 	f.stopOnce = append(f.stopOnce, &sync.Once{})
 	f.exits = append(f.exits, make(chan error, 1))
 	settings := gateway.Settings{
-		Name: "gateway-" + strconv.Itoa(i), Domain: "a", Callers: callerAddress(i), Links: linkAddress(i),
-		Readiness: fmt.Sprintf("10.0.0.%d:82", i+1), Metrics: fmt.Sprintf("10.0.0.%d:83", i+1),
-		Grace: 8 * time.Second, Apply: 2 * time.Second, Quota: quota.Options{Full: true},
+		Name: "gateway-" + strconv.Itoa(i), Domain: "a", CallerAddress: callerAddress(i), LinkAddress: linkAddress(i),
+		ReadinessAddress: fmt.Sprintf("10.0.0.%d:82", i+1), MetricsAddress: fmt.Sprintf("10.0.0.%d:83", i+1),
+		GracePeriod: 8 * time.Second, ConfigApplyLimit: 2 * time.Second, Quota: quota.Options{Full: true},
 		Retry:     retry.Settings{Share: 0.2, Slack: 50, Window: 10 * time.Second},
 		ConfigKey: platform.ConfigPrefix, UpstreamPrefix: platform.UpstreamPrefix, OrderPrefix: platform.RolloutPrefix,
 	}
 	g := gateway.New(gateway.Parts{
 		Settings: settings, Store: platform.NewStore(storeAddress(i), f.network.DialContext), Decoder: platform.Decoder{},
-		Translator: platform.Headers{}, Names: platform.AnswerNames(), Dialer: f.network,
+		Translator: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(), Dialer: f.network,
 		Listen: func(_, address string) (net.Listener, error) { return f.network.Listen(address) },
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -74,20 +74,20 @@
 
 // Settings configure a gateway.
 type Settings struct {
-	Name, Domain                       string
-	Callers, Readiness, Links, Metrics string
-	Seeds                              []string
-	Grace                              time.Duration
-	// Processor is the share of one CPU core that the process may use; 0 means
+	Name, Domain                                                 string
+	CallerAddress, ReadinessAddress, LinkAddress, MetricsAddress string
+	SeedAddresses                                                []string
+	GracePeriod                                                  time.Duration
+	// CPUCores is the share of one CPU core that the process may use; 0 means
 	// unknown.
-	Processor                 float64
+	CPUCores                  float64
 	Retry                     retry.Settings
 	ConfigKey, UpstreamPrefix string
 	OrderPrefix               string
 	Quota                     quota.Options
-	// Apply is the longest time that may pass from the store's acknowledgment
+	// ConfigApplyLimit is the longest time that may pass from the store's acknowledgment
 	// of a configuration until every gateway uses it.
-	Apply time.Duration
+	ConfigApplyLimit time.Duration
 }
 
 // Dialer opens connections to upstreams and peers.
@@ -97,19 +97,19 @@
 
 // Parts are the dependencies of a gateway.
 type Parts struct {
-	Settings   Settings
-	Store      kv.Store
-	Decoder    Decoder
-	Translator flow.Translator
-	Names      exchange.Names
-	Dialer     Dialer
+	Settings      Settings
+	Store         kv.Store
+	Decoder       Decoder
+	Translator    flow.Translator
+	AnswerHeaders exchange.Names
+	Dialer        Dialer
 	// Listen opens a listener.
 	Listen func(network, address string) (net.Listener, error)
 	Logger *slog.Logger
-	// LeftOut returns how many log lines were omitted by sampling and by a full
+	// OmittedLogLines returns how many log lines were omitted by sampling and by a full
 	// output buffer; it may be nil.
-	LeftOut func() (sampled, dropped int64)
-	Now     func() time.Time
+	OmittedLogLines func() (sampled, dropped int64)
+	Now             func() time.Time
 }
 
 // Gateway is one gateway process.
@@ -186,16 +186,16 @@
 		roster: roster.New(), ledger: quota.NewLedger(), metrics: newMetrics(),
 		pool: exchange.NewPool(parts.Dialer.DialContext),
 	}
-	g.grace.Store(int64(s.Grace))
+	g.grace.Store(int64(s.GracePeriod))
 	g.store = meter.New(parts.Store, g.metrics.StoreCall)
-	g.omittedLogLines = parts.LeftOut
+	g.omittedLogLines = parts.OmittedLogLines
 	g.retryBudget = retry.New(s.Retry, func() int { return g.peers.gatewayCount() })
 	g.upstreams = newUpstreamView(g)
 	g.peers = &peers{Gateway: g, rank: unranked, storeReachedAt: make(map[string]time.Time)}
 	g.quota = quota.New(s.Quota, g.peers.gatewayCount)
 	g.crashRegister = crash.New(g.peers.recordCrash)
-	g.mesh = mesh.New(s.Name, s.Links, g.runID, parts.Dialer, g.peers, logger, now)
-	g.peers.isHub = g.mesh.Hub
+	g.mesh = mesh.New(s.Name, s.LinkAddress, g.runID, parts.Dialer, g.peers, logger, now)
+	g.peers.isHub = g.mesh.IsHub
 	g.granter = granter.New(now, g.peers.deliverVerdict, logger)
 	g.permits = permit.New(permit.Parts{
 		Node: s.Name, Domain: s.Domain, Scheduler: g.peers.scheduler, Send: g.mesh.Send,
@@ -209,7 +209,7 @@
 	g.follower = g.newFollower()
 	g.metrics.registerGauges(g)
 	requests := flow.New(flow.Parts{
-		Translator: parts.Translator, Client: exchange.NewClient(g.pool, parts.Names, now), Catalog: g.catalog.Load,
+		Translator: parts.Translator, Client: exchange.NewClient(g.pool, parts.AnswerHeaders, now), Catalog: g.catalog.Load,
 		Picker: g.versionPicker, Quota: g.quota, Retries: g.retryBudget, Crashes: g.crashRegister,
 		Metrics: g.metrics, Logger: logger, Now: now, Leaving: g.stopTimes,
 		Elsewhere: func() bool { return g.peers.otherAcceptsRequests(now()) },
@@ -230,7 +230,7 @@
 
 // Run serves until the context ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
-	callers, err := g.listen("tcp", g.settings.Callers)
+	callers, err := g.listen("tcp", g.settings.CallerAddress)
 	if err != nil {
 		return err
 	}
@@ -238,13 +238,13 @@
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, background := errgroup.WithContext(background)
-	links, err := g.listen("tcp", g.settings.Links)
+	links, err := g.listen("tcp", g.settings.LinkAddress)
 	if err != nil {
 		return err
 	}
 	server := link.Serve(links, g.mesh.Serve)
-	for _, address := range g.settings.Seeds {
-		g.mesh.Know(g.now(), address)
+	for _, address := range g.settings.SeedAddresses {
+		g.mesh.AddPeer(g.now(), address)
 	}
 	group.Go(func() error { return g.mesh.Run(background) })
 	group.Go(func() error { return g.granter.Run(background) })
@@ -256,8 +256,10 @@
 	group.Go(func() error { return g.peers.register(background) })
 	group.Go(func() error { return g.follower.Run(background) })
 	group.Go(func() error { return g.sweep(background) })
-	group.Go(func() error { return g.serveHTTP(background, g.settings.Readiness, http.HandlerFunc(g.serveReadiness)) })
-	group.Go(func() error { return g.serveHTTP(background, g.settings.Metrics, g.metrics.handler()) })
+	group.Go(func() error {
+		return g.serveHTTP(background, g.settings.ReadinessAddress, http.HandlerFunc(g.serveReadiness))
+	})
+	group.Go(func() error { return g.serveHTTP(background, g.settings.MetricsAddress, g.metrics.handler()) })
 	group.Go(func() error { return g.ingress.Serve(callers) })
 	group.Go(func() error {
 		select {
@@ -280,11 +282,11 @@
 	now := g.now()
 	g.stop.Store(&stopWindow{start: now, end: now.Add(grace - stopMargin)})
 	g.peers.invalidateScheduler()
-	g.mesh.Farewell()
+	g.mesh.AnnounceLeaving()
 	ctx, cancel := context.WithTimeout(context.Background(), grace-stopMargin)
 	defer cancel()
 	err := g.ingress.Stop(ctx)
-	g.mesh.Gone()
+	g.mesh.AnnounceExit()
 	return err
 }
 
@@ -341,9 +343,9 @@
 
 // storePollPause returns the pause before the next watch of the store.
 func (g *Gateway) storePollPause() time.Duration {
-	pause := min(minStorePollPause+time.Duration(g.mesh.Known())*storePollPausePerPeer, maxStorePollPause)
+	pause := min(minStorePollPause+time.Duration(g.mesh.PeerCount())*storePollPausePerPeer, maxStorePollPause)
 	if g.peers.peersPollStore(g.now()) {
-		return max(pause, time.Duration(peerInformedPauseShare*float64(g.settings.Apply)))
+		return max(pause, time.Duration(peerInformedPauseShare*float64(g.settings.ConfigApplyLimit)))
 	}
 	return pause
 }
@@ -360,7 +362,7 @@
 		{Prefix: speedsKey, View: g.speedStore},
 	}
 	return follow.New(g.store, views, follow.Options{
-		WatchPause: g.storePollPause, WatchTimeout: g.settings.Apply,
+		WatchPause: g.storePollPause, WatchTimeout: g.settings.ConfigApplyLimit,
 		OnLost: func(time.Time) { g.peers.setStoreLost(true) },
 		OnRegained: func(now time.Time) {
 			g.roster.StoreRegained(now)
@@ -378,8 +380,8 @@
 			return
 		}
 		if g.lastChange.CompareAndSwap(known, revision) {
-			if g.mesh.Hub() {
-				g.mesh.Hurry()
+			if g.mesh.IsHub() {
+				g.mesh.GossipNow()
 			}
 			return
 		}
--- a/internal/role/gateway/gateway_test.go
+++ b/internal/role/gateway/gateway_test.go
@@ -61,7 +61,7 @@
 // seconds.
 func TestGatewaysServeThroughStoreOutage(t *testing.T) {
 	runFleet(t, func(f *fleet) {
-		f.store.SetFault(standin.Silent)
+		f.store.SetFault(standin.NoResponse)
 		for range 10 {
 			bubble.Pass(time.Second)
 			require.Equal(t, gateways, countServed(f.callAll(gateways, "/old/x")))
@@ -141,7 +141,7 @@
 // write them to the store on its return.
 func TestNextSchedulerKnowsUnstoredEngineSpeeds(t *testing.T) {
 	runFleet(t, func(f *fleet) {
-		f.store.SetFault(standin.Silent)
+		f.store.SetFault(standin.NoResponse)
 		f.warmUp()
 		bubble.Pass(3 * time.Second)
 		f.stop(f.scheduler())
--- a/internal/role/gateway/metrics.go
+++ b/internal/role/gateway/metrics.go
@@ -47,7 +47,7 @@
 	gauge("gateways_known", "Gateways that are known, this one included.", func() float64 { return float64(g.peers.gatewayCount()) })
 	gauge("gateways_heard", "Gateways that are heard, this one included.", func() float64 { return float64(len(g.mesh.Alive(g.now())) + 1) })
 	gauge("hub", "1 while this gateway is one of those that all others hear.", func() float64 {
-		if g.mesh.Hub() {
+		if g.mesh.IsHub() {
 			return 1
 		}
 		return 0
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -127,7 +127,7 @@
 		p.mu.Unlock()
 		return
 	}
-	p.mesh.KnowRanked(now, m.Address, m.rank(item.Created))
+	p.mesh.AddRankedPeer(now, m.Address, m.rank(item.Created))
 }
 
 // memberPrefix is the prefix of the gateways' registrations in the store.
@@ -135,7 +135,7 @@
 
 // register keeps the gateway registered in the store until the context ends.
 func (p *peers) register(ctx context.Context) error {
-	value, err := json.Marshal(member{Address: p.settings.Links, Run: p.runID, CPUHalvings: cpuHalvings(p.settings.Processor)})
+	value, err := json.Marshal(member{Address: p.settings.LinkAddress, Run: p.runID, CPUHalvings: cpuHalvings(p.settings.CPUCores)})
 	if err != nil {
 		return err
 	}
@@ -188,8 +188,8 @@
 	return lease, false
 }
 
-// Gossip implements mesh.Handler.
-func (p *peers) Gossip(now time.Time, g *wire.Gossip) {
+// FillGossip implements mesh.Handler.
+func (p *peers) FillGossip(now time.Time, g *wire.Gossip) {
 	p.granter.SetReach(p.mesh.Reach(now))
 	p.mu.Lock()
 	g.Rank = p.rank
@@ -205,8 +205,8 @@
 	g.ChangeRevision = p.lastChange.Load()
 }
 
-// Heard implements mesh.Handler.
-func (p *peers) Heard(now time.Time, peer string, g *wire.Gossip) {
+// HandleGossip implements mesh.Handler.
+func (p *peers) HandleGossip(now time.Time, peer string, g *wire.Gossip) {
 	p.granter.OwnerUp(peer)
 	for _, c := range g.Crashes {
 		if p.crashRegister.Learn(now, c.Fingerprint, c.Upstream) && p.isHub() {
@@ -217,8 +217,8 @@
 	p.permits.Follow(now)
 }
 
-// Receive implements mesh.Handler.
-func (p *peers) Receive(now time.Time, peer string, e *wire.Envelope) {
+// HandleMessage implements mesh.Handler.
+func (p *peers) HandleMessage(now time.Time, peer string, e *wire.Envelope) {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceVerdict:
 		p.permits.Verdict(body.PlaceVerdict)
@@ -246,8 +246,8 @@
 	}
 }
 
-// Down implements mesh.Handler.
-func (p *peers) Down(now time.Time, peer string) {
+// PeerDown implements mesh.Handler.
+func (p *peers) PeerDown(now time.Time, peer string) {
 	p.mu.Lock()
 	delete(p.storeReachedAt, peer)
 	p.schedulerCachedAt = time.Time{}
@@ -348,7 +348,7 @@
 
 // recordCrash adds a crash that this gateway observed or relays to its gossip.
 func (p *peers) recordCrash(fingerprint uint64, upstream string) {
-	p.mesh.Hurry()
+	p.mesh.GossipNow()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gossipedCrashes = append(p.gossipedCrashes, &wire.CrashSeen{Fingerprint: fingerprint, Upstream: upstream})
@@ -399,4 +399,4 @@
 // gatewayCount returns how many gateways share the fleet-wide limits. Gateways that
 // are registered but have sent no gossip yet count: after a restart of all of them,
 // each would otherwise take the whole limit for itself.
-func (p *peers) gatewayCount() int { return p.mesh.Known() + 1 }
+func (p *peers) gatewayCount() int { return p.mesh.PeerCount() + 1 }
--- a/internal/role/gateway/peers_internal_test.go
+++ b/internal/role/gateway/peers_internal_test.go
@@ -76,10 +76,10 @@
 	g := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
 	for range 3 {
-		g.peers.Heard(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: 7, Upstream: "engine"}}})
+		g.peers.HandleGossip(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: 7, Upstream: "engine"}}})
 	}
 	gossip := &wire.Gossip{}
-	g.peers.Gossip(now, gossip)
+	g.peers.FillGossip(now, gossip)
 	require.Len(t, gossip.Crashes, 1)
 	require.Equal(t, uint64(7), gossip.Crashes[0].Fingerprint)
 }
@@ -105,11 +105,11 @@
 	b := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	sendGossip := func(from, to *Gateway) {
 		gossip := &wire.Gossip{}
-		from.peers.Gossip(now, gossip)
-		to.peers.Heard(now, "peer", &wire.Gossip{Crashes: gossip.Crashes})
+		from.peers.FillGossip(now, gossip)
+		to.peers.HandleGossip(now, "peer", &wire.Gossip{Crashes: gossip.Crashes})
 	}
 	for i := range 3 {
-		a.peers.Heard(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: fingerprint, Upstream: strconv.Itoa(i)}}})
+		a.peers.HandleGossip(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: fingerprint, Upstream: strconv.Itoa(i)}}})
 	}
 	sendGossip(a, b)
 	require.True(t, b.crashRegister.Blocked(now, fingerprint))
--- a/internal/role/gateway/reload.go
+++ b/internal/role/gateway/reload.go
@@ -9,17 +9,17 @@
 // as a warning.
 func (g *Gateway) Reload(next Settings) {
 	initial := g.settings
-	if next.Callers != initial.Callers || next.Readiness != initial.Readiness || next.Links != initial.Links ||
-		next.Metrics != initial.Metrics || next.Name != initial.Name || next.Domain != initial.Domain {
-		g.logger.Warn("settings changed that need a restart", "callers", next.Callers, "links", next.Links)
+	if next.CallerAddress != initial.CallerAddress || next.ReadinessAddress != initial.ReadinessAddress || next.LinkAddress != initial.LinkAddress ||
+		next.MetricsAddress != initial.MetricsAddress || next.Name != initial.Name || next.Domain != initial.Domain {
+		g.logger.Warn("settings changed that need a restart", "callers", next.CallerAddress, "links", next.LinkAddress)
 	}
 	g.retryBudget.SetSettings(next.Retry)
 	g.quota.SetOptions(next.Quota)
-	g.grace.Store(int64(next.Grace))
-	for _, address := range next.Seeds {
-		g.mesh.Know(g.now(), address)
+	g.grace.Store(int64(next.GracePeriod))
+	for _, address := range next.SeedAddresses {
+		g.mesh.AddPeer(g.now(), address)
 	}
-	g.logger.Info("settings reloaded", "grace", next.Grace, "seeds", next.Seeds,
+	g.logger.Info("settings reloaded", "grace", next.GracePeriod, "seeds", next.SeedAddresses,
 		"retry-share", next.Retry.Share, "retry-slack", next.Retry.Slack, "quota-slack", next.Quota.Slack)
 }
 
--- a/internal/role/gateway/snapshots.go
+++ b/internal/role/gateway/snapshots.go
@@ -45,7 +45,7 @@
 	// While the store answers, the configuration is read from it: a peer that sent a
 	// large configuration to a whole fleet would fall behind on its other messages.
 	configBehind, configBehindFor := p.configLag.observe(now, version, g.ConfigVersion)
-	maxConfigWait := max(snapshotRequestInterval, time.Duration(configWaitShare*float64(p.settings.Apply)))
+	maxConfigWait := max(snapshotRequestInterval, time.Duration(configWaitShare*float64(p.settings.ConfigApplyLimit)))
 	if configBehind && (p.storeLost || configBehindFor > maxConfigWait) && now.Sub(p.configRequestedAt) > snapshotRequestInterval {
 		request.Config, p.configRequestedAt = true, now
 	}
--- a/internal/role/gateway/snapshots_internal_test.go
+++ b/internal/role/gateway/snapshots_internal_test.go
@@ -29,7 +29,7 @@
 
 func newSnapshotGateway(name string) *Gateway {
 	return New(Parts{
-		Settings: Settings{Name: name, Apply: 4 * time.Second}, Decoder: stateDecoder{}, Dialer: &net.Dialer{},
+		Settings: Settings{Name: name, ConfigApplyLimit: 4 * time.Second}, Decoder: stateDecoder{}, Dialer: &net.Dialer{},
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
 }
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -48,9 +48,9 @@
 	Resumable bool
 	// Timeout is the longest time that a caller may wait for the end of the answer.
 	Timeout time.Duration
-	// Objective is the target for the time to a complete answer, or to a stream's
+	// LatencyTarget is the target for the time to a complete answer, or to a stream's
 	// first event.
-	Objective time.Duration
+	LatencyTarget time.Duration
 	// MaxGap is the target for the longest pause between two events of a stream.
 	MaxGap time.Duration
 	// Tier is the priority of requests; 0 is served first.
--- a/internal/trial/soak/backend_test.go
+++ b/internal/trial/soak/backend_test.go
@@ -203,7 +203,7 @@
 	if err != nil || !up {
 		panic(http.ErrAbortHandler)
 	}
-	names := platform.AnswerNames()
+	names := platform.AnswerHeaders()
 	w.Header().Set(names.ID, attempt)
 	w.Header().Set(names.Load, fmt.Sprintf("%d,0,%d", u.running.Load(), slots))
 	if r.Header.Get(instanceHeader) != id {
--- a/internal/trial/soak/fault_test.go
+++ b/internal/trial/soak/fault_test.go
@@ -111,7 +111,7 @@
 		tb.store.Compact()
 		return
 	}
-	faults := []standin.Fault{standin.Busy, standin.Throttled, standin.Silent, standin.Reset, standin.Lost}
+	faults := []standin.Fault{standin.Busy, standin.Throttled, standin.NoResponse, standin.Reset, standin.ResponseLost}
 	tb.store.SetFault(faults[r.IntN(len(faults))])
 	<-time.After(randomDuration(r, 200*time.Millisecond, 4*time.Second))
 	tb.store.SetFault(standin.None)
