--- a/cmd/persimmonridge/explain.go
+++ b/cmd/persimmonridge/explain.go
@@ -24,7 +24,7 @@
 		}
 		logs = append(logs, log)
 	}
-	found, err := explain.Story(os.Stdout, c.ID, logs...)
+	found, err := explain.WriteReport(os.Stdout, c.ID, logs...)
 	if err != nil {
 		return err
 	}
--- a/cmd/persimmonridge/gateway.go
+++ b/cmd/persimmonridge/gateway.go
@@ -55,7 +55,7 @@
 		return err
 	}
 	debug.SetMemoryLimit(int64(float64(node.MemoryBytes) * memoryLimitShare))
-	g := gateway.New(gateway.Parts{
+	g := gateway.New(gateway.Dependencies{
 		Settings: gatewaySettings(node), Store: platform.NewStore(node.Store, dial.Dialer{}.DialContext),
 		Decoder: platform.Decoder{}, Translator: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(),
 		Dialer: dial.Dialer{}, Listen: net.Listen, Logger: logger, OmittedLogLines: handler.LeftOut, Now: time.Now,
@@ -99,7 +99,7 @@
 		LinkAddress: node.LinkAddress, MetricsAddress: node.MetricsAddress, SeedAddresses: node.SeedAddresses, GracePeriod: node.GracePeriod, ConfigApplyLimit: node.ConfigApplyLimit,
 		CPUCores:  node.CPUCores,
 		Retry:     retry.Settings{Share: node.RetryRatio, Slack: node.RetrySlack, Window: node.RetryWindow},
-		Quota:     quota.Options{Full: node.Bootstrap, Slack: node.QuotaSlack, Over: node.QuotaExcessFraction, Window: node.QuotaWindow},
+		Quota:     quota.Options{StartFull: node.Bootstrap, Slack: node.QuotaSlack, ExcessFraction: node.QuotaExcessFraction, Window: node.QuotaWindow},
 		ConfigKey: platform.ConfigPrefix, UpstreamPrefix: platform.UpstreamPrefix, OrderPrefix: platform.RolloutPrefix,
 	}
 }
--- a/internal/edge/exchange/exchange.go
+++ b/internal/edge/exchange/exchange.go
@@ -38,14 +38,14 @@
 	maxIdleNonIdempotent = time.Second
 )
 
-// Names holds the names of the headers that are read from an upstream's answer.
-type Names struct {
-	// ID is the request's ID, which the upstream echoes.
-	ID string
+// HeaderNames holds the names of the headers that are read from an upstream's answer.
+type HeaderNames struct {
+	// RequestID is the request's RequestID, which the upstream echoes.
+	RequestID string
 	// Seal is set in every answer of an upstream that executed the request.
 	Seal string
-	// NotRun is set in an answer to a request that was not executed.
-	NotRun string
+	// NotExecuted is set in an answer to a request that was not executed.
+	NotExecuted string
 	// Load states the upstream's running and waiting requests and its slots.
 	Load string
 }
@@ -76,9 +76,9 @@
 	// Sealed reports that the answer has the seal of an upstream that executed the
 	// request.
 	Sealed bool
-	// NotRun reports that the upstream did not execute the request.
-	NotRun bool
-	Load   *Load
+	// NotExecuted reports that the upstream did not execute the request.
+	NotExecuted bool
+	Load        *Load
 
 	body io.ReadCloser
 	conn *conn
@@ -95,12 +95,12 @@
 // Client sends requests to upstreams.
 type Client struct {
 	pool  *Pool
-	names Names
+	names HeaderNames
 	now   func() time.Time
 }
 
 // NewClient returns a client that uses the pool's connections.
-func NewClient(pool *Pool, names Names, now func() time.Time) *Client {
+func NewClient(pool *Pool, names HeaderNames, now func() time.Time) *Client {
 	return &Client{pool: pool, names: names, now: now}
 }
 
@@ -167,10 +167,10 @@
 	}
 	answer := &Answer{
 		Status: response.StatusCode, Header: response.Header,
-		Sealed: response.Header.Get(c.names.Seal) != "",
-		NotRun: response.Header.Get(c.names.NotRun) != "" || response.StatusCode == http.StatusMisdirectedRequest,
-		Load:   parseLoad(response.Header.Get(c.names.Load)),
-		body:   response.Body, conn: conn, pool: c.pool, now: c.now,
+		Sealed:      response.Header.Get(c.names.Seal) != "",
+		NotExecuted: response.Header.Get(c.names.NotExecuted) != "" || response.StatusCode == http.StatusMisdirectedRequest,
+		Load:        parseLoad(response.Header.Get(c.names.Load)),
+		body:        response.Body, conn: conn, pool: c.pool, now: c.now,
 		// An upstream that answers before the whole body was sent takes what
 		// follows for the rest of it, so the connection must not be reused.
 		reusable: bodySent && !response.Close,
@@ -226,7 +226,7 @@
 			}
 			continue
 		}
-		answerID := response.Header.Get(c.names.ID)
+		answerID := response.Header.Get(c.names.RequestID)
 		if answerID == id || (answerID == "" && response.Header.Get(c.names.Seal) == "") {
 			response.Close = response.Close || unrelated > 0
 			return response, nil
--- a/internal/edge/exchange/exchange_test.go
+++ b/internal/edge/exchange/exchange_test.go
@@ -16,7 +16,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/edge/exchange"
 )
 
-var names = exchange.Names{ID: "Request-Id", Seal: "Seal", NotRun: "Not-Run", Load: "Load"}
+var names = exchange.HeaderNames{RequestID: "Request-Id", Seal: "Seal", NotExecuted: "Not-Run", Load: "Load"}
 
 // upstream answers each request by a script.
 type upstream struct {
@@ -115,7 +115,7 @@
 	})
 	answer, err := newClient(t).Do(context.Background(), u.address, request("one"))
 	require.NoError(t, err)
-	require.True(t, answer.NotRun)
+	require.True(t, answer.NotExecuted)
 	require.False(t, answer.Sealed)
 	require.Equal(t, exchange.Load{Running: 12, Waiting: 4, Slots: 12}, *answer.Load)
 	answer.Close(true)
--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -103,8 +103,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections whose idle time is over.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes connections whose idle time is over.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
--- a/internal/edge/flow/admit.go
+++ b/internal/edge/flow/admit.go
@@ -28,7 +28,7 @@
 		c.refuse(http.StatusNotFound, 0, "no matching route")
 		return false
 	}
-	c.workspace = c.catalog.Workspace(c.request.Key)
+	c.workspace = c.catalog.WorkspaceByKey(c.request.Key)
 	c.tier = c.catalog.Tier(c.route, c.workspace)
 	if c.workspace == nil && !c.route.Public && c.catalog.HasWorkspaces() {
 		c.refuse(http.StatusUnauthorized, 0, "unknown API key")
@@ -38,7 +38,7 @@
 }
 
 func (c *call) readBody(r *http.Request) bool {
-	maxBytes := c.catalog.Limits().BodyBytes
+	maxBytes := c.catalog.Limits().MaxBodyBytes
 	if maxBytes <= 0 {
 		maxBytes = 4 << 20
 	}
@@ -94,12 +94,12 @@
 }
 
 func (c *call) chargeQuota(ctx context.Context) bool {
-	if c.workspace == nil || c.workspace.PerSecond <= 0 {
+	if c.workspace == nil || c.workspace.QuotaPerSecond <= 0 {
 		return true
 	}
 	cost := 1.0
-	if c.workspace.ByTokens {
-		cost = c.workspace.PlainTokens
+	if c.workspace.QuotaCountsTokens {
+		cost = c.workspace.DefaultTokens
 		if c.request.Counted {
 			cost = float64(c.request.PromptTokens + c.request.OutputTokens)
 		}
@@ -115,7 +115,7 @@
 	}
 	if !ok {
 		c.refuse(http.StatusTooManyRequests, retryAfter, fmt.Sprintf("quota of workspace %s exceeded: rate %.0f per second, burst %.0f, request cost %.0f",
-			c.workspace.Name, c.workspace.PerSecond, c.workspace.Burst, cost))
+			c.workspace.Name, c.workspace.QuotaPerSecond, c.workspace.QuotaBurst, cost))
 		return false
 	}
 	c.chargedCost = cost
--- a/internal/edge/flow/ending.go
+++ b/internal/edge/flow/ending.go
@@ -150,5 +150,5 @@
 	if c.route.Kind != catalog.Streaming {
 		return took > c.route.LatencyTarget
 	}
-	return c.placementWait+c.firstEvent > c.route.LatencyTarget || (c.route.MaxGap > 0 && c.longestGap > c.route.MaxGap)
+	return c.placementWait+c.firstEvent > c.route.LatencyTarget || (c.route.EventGapTarget > 0 && c.longestGap > c.route.EventGapTarget)
 }
--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -196,7 +196,7 @@
 	if c.events < 2 || service == nil || service.Engine == nil {
 		return 0
 	}
-	return (c.events - 1) * service.Engine.EventTokens
+	return (c.events - 1) * service.Engine.TokensPerEvent
 }
 
 // targetService chooses one of the route's services by weight. The choice depends
@@ -277,7 +277,7 @@
 	if answer.Load != nil {
 		place.Load(c.Now(), *answer.Load)
 	}
-	if answer.NotRun {
+	if answer.NotExecuted {
 		c.logger.Info("upstream declined the request", "upstream", upstream.ID, "status", answer.Status)
 		answer.Close(false)
 		return Declined
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -64,7 +64,7 @@
 			{Name: "open", Host: "h", Prefix: "/open/", Kind: catalog.Idempotent, Timeout: time.Minute, MaxAttempts: 1, Public: true},
 		},
 		Services:   []catalog.Service{{Name: "s"}},
-		Workspaces: []catalog.Workspace{{Name: "studio", Keys: []string{"key"}, Tier: -1}},
+		Workspaces: []catalog.Workspace{{Name: "studio", APIKeys: []string{"key"}, Tier: -1}},
 	}
 	for i := range f.content.Routes {
 		f.content.Routes[i].Targets = []catalog.Target{{Service: "s", Weight: 1}}
@@ -370,7 +370,7 @@
 		require.NoError(t, err)
 		require.Equal(t, want, response.StatusCode, path)
 	}
-	f.content.Workspaces[0].Keys = nil
+	f.content.Workspaces[0].APIKeys = nil
 	response, _, err := f.call("/read/x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusUnauthorized, response.StatusCode)
@@ -474,7 +474,7 @@
 func TestRequestIsHeldUntilUsageIsKnown(t *testing.T) {
 	f := newFixture(t)
 	f.addUpstream("one", successAnswer)
-	f.content.Workspaces[0].PerSecond, f.pendingQuotaRequests = 1, 3
+	f.content.Workspaces[0].QuotaPerSecond, f.pendingQuotaRequests = 1, 3
 	response, _, err := f.call("/read/x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
@@ -485,7 +485,7 @@
 // because no upstream accepts it is refunded.
 func TestQuotaIsChargedAndRefunded(t *testing.T) {
 	f := newFixture(t)
-	f.content.Workspaces[0].PerSecond = 1
+	f.content.Workspaces[0].QuotaPerSecond = 1
 	response, _, err := f.call("/read/x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
--- a/internal/edge/ingress/fixture_test.go
+++ b/internal/edge/ingress/fixture_test.go
@@ -74,7 +74,7 @@
 	bubble.Run(t, func(t *testing.T) {
 		f := &fixture{t: t, network: network.New(), readPaths: make(map[string]bool), serveDone: make(chan error, 1), delay: delay}
 		f.setIdleLimit(idleLimit)
-		f.server = ingress.New(ingress.Parts{
+		f.server = ingress.New(ingress.Dependencies{
 			Handler: http.HandlerFunc(f.serve), Catalog: f.catalog.Load, Metrics: &f.closedConns,
 			Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 		})
@@ -89,7 +89,7 @@
 // stop shuts the server down, once.
 func (f *fixture) stop() {
 	f.stopOnce.Do(func() {
-		require.NoError(f.t, f.server.Stop(f.t.Context()))
+		require.NoError(f.t, f.server.Shutdown(f.t.Context()))
 		require.NoError(f.t, <-f.serveDone)
 	})
 }
--- a/internal/edge/ingress/ingress.go
+++ b/internal/edge/ingress/ingress.go
@@ -30,11 +30,11 @@
 	unreadBodyTimeout = 2 * time.Second
 	// defaultIdleTimeout applies until a configuration is loaded, and if it sets none.
 	defaultIdleTimeout = 15 * time.Second
-	// lingerAfterStop is how long open connections still accept requests after the
+	// shutdownLinger is how long open connections still accept requests after the
 	// start of a shutdown: the load balancer takes two seconds to notice it, and
 	// callers that were told to close their connection do so before their next
 	// request.
-	lingerAfterStop = 3500 * time.Millisecond
+	shutdownLinger = 3500 * time.Millisecond
 	// drainPollInterval is how often a shutdown checks whether it is complete.
 	drainPollInterval = 50 * time.Millisecond
 	// flushDelay is the time between the end of the last request and the closing of
@@ -60,8 +60,8 @@
 	ConnectionClosed(reason CloseReason)
 }
 
-// Parts holds the dependencies of a Server.
-type Parts struct {
+// Dependencies holds the dependencies of a Server.
+type Dependencies struct {
 	Handler http.Handler
 	// Catalog returns the active configuration, or nil before the first is loaded.
 	Catalog func() *catalog.Catalog
@@ -72,7 +72,7 @@
 
 // Server is an HTTP server for callers.
 type Server struct {
-	Parts
+	Dependencies
 	httpServer *http.Server
 
 	// draining reports that connections are closed as soon as they are idle.
@@ -87,8 +87,8 @@
 }
 
 // New returns a server with the given dependencies. Serve starts it.
-func New(parts Parts) *Server {
-	s := &Server{Parts: parts, conns: make(map[*Conn]struct{})}
+func New(parts Dependencies) *Server {
+	s := &Server{Dependencies: parts, conns: make(map[*Conn]struct{})}
 	s.httpServer = &http.Server{
 		Handler: s.trackRequest(parts.Handler), MaxHeaderBytes: maxHeaderBytes,
 		ConnState: s.trackState, ConnContext: withConn, DisableGeneralOptionsHandler: true,
@@ -200,8 +200,8 @@
 
 // headerByteLimit returns how many bytes a header may have.
 func (s *Server) headerByteLimit() int {
-	if c := s.Catalog(); c != nil && c.Limits().HeaderBytes > 0 {
-		return c.Limits().HeaderBytes
+	if c := s.Catalog(); c != nil && c.Limits().MaxHeaderBytes > 0 {
+		return c.Limits().MaxHeaderBytes
 	}
 	return defaultHeaderBytes
 }
@@ -220,11 +220,11 @@
 	return size
 }
 
-// Stop shuts the server down gracefully: open connections are served until callers
+// Shutdown shuts the server down gracefully: open connections are served until callers
 // had time to leave them, and requests in flight complete. Those that still run
 // when the context ends are aborted.
-func (s *Server) Stop(ctx context.Context) error {
-	drainFrom := s.Now().Add(lingerAfterStop)
+func (s *Server) Shutdown(ctx context.Context) error {
+	drainFrom := s.Now().Add(shutdownLinger)
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
--- a/internal/edge/ingress/ingress_test.go
+++ b/internal/edge/ingress/ingress_test.go
@@ -61,7 +61,7 @@
 				var lost atomic.Int64
 				for i, c := range callers {
 					wg.Go(func() {
-						bubble.Pass(ingress.LingerAfterStop - 300*time.Millisecond + time.Duration(i)*5*time.Millisecond)
+						bubble.Pass(ingress.ShutdownLinger - 300*time.Millisecond + time.Duration(i)*5*time.Millisecond)
 						if c.readButUnanswered(c.call()) {
 							lost.Add(1)
 						}
@@ -134,7 +134,7 @@
 			callErr <- err
 		}()
 		bubble.Pass(handlerTime / 2)
-		f.stopOnce.Do(func() { require.NoError(t, f.server.Stop(ctx)) })
+		f.stopOnce.Do(func() { require.NoError(t, f.server.Shutdown(ctx)) })
 		require.Error(t, <-callErr)
 		require.NoError(t, <-f.serveDone)
 		require.Equal(t, int64(1), f.closedConns.inFlight.Load())
@@ -182,7 +182,7 @@
 		require.NoError(t, c.read())
 		startedAt := time.Now()
 		f.stop()
-		require.Less(t, time.Since(startedAt), ingress.LingerAfterStop+time.Second)
+		require.Less(t, time.Since(startedAt), ingress.ShutdownLinger+time.Second)
 	})
 }
 
@@ -191,7 +191,7 @@
 func TestTooLargeHeaderGetsACompleteAnswer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server := ingress.New(ingress.Parts{
+	server := ingress.New(ingress.Dependencies{
 		Handler: http.NotFoundHandler(), Catalog: func() *catalog.Catalog { return nil }, Metrics: &closedCounts{},
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
@@ -209,7 +209,7 @@
 	require.NoError(t, conn.Close())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.NoError(t, server.Stop(ctx))
+	require.NoError(t, server.Shutdown(ctx))
 	require.NoError(t, <-done)
 }
 
@@ -240,7 +240,7 @@
 		runServer(t, 10*time.Millisecond, func(f *fixture) {
 			callErr := make(chan error, 1)
 			go func() {
-				bubble.Pass(ingress.LingerAfterStop + offset)
+				bubble.Pass(ingress.ShutdownLinger + offset)
 				c := f.tryDial()
 				if c == nil {
 					callErr <- nil
@@ -268,11 +268,11 @@
 				require.NoError(t, err)
 				startedAt := time.Now()
 				go func() {
-					bubble.Pass(ingress.LingerAfterStop - time.Second)
+					bubble.Pass(ingress.ShutdownLinger - time.Second)
 					_ = c.write(piece)
 				}()
 				f.stop()
-				require.Less(t, time.Since(startedAt), ingress.LingerAfterStop+ingress.DrainHeaderTimeout+time.Second)
+				require.Less(t, time.Since(startedAt), ingress.ShutdownLinger+ingress.DrainHeaderTimeout+time.Second)
 			})
 		})
 	}
@@ -336,7 +336,7 @@
 			{0, 60 << 10, http.StatusOK},
 			{0, 70 << 10, http.StatusRequestHeaderFieldsTooLarge},
 		} {
-			f.setLimits(catalog.Limits{IdleTimeout: time.Minute, HeaderBytes: c.most})
+			f.setLimits(catalog.Limits{IdleTimeout: time.Minute, MaxHeaderBytes: c.most})
 			caller := f.dial()
 			require.NoError(t, caller.write("GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("a", c.size)+"\r\n\r\n"))
 			response, err := http.ReadResponse(caller.reader, nil)
--- a/internal/limit/crash/crash.go
+++ b/internal/limit/crash/crash.go
@@ -29,8 +29,8 @@
 	at          time.Time
 }
 
-// Register records crashes of upstreams. It is safe for concurrent use.
-type Register struct {
+// Tracker records crashes of upstreams. It is safe for concurrent use.
+type Tracker struct {
 	mu sync.Mutex
 	// interrupted holds the interrupted requests by upstream, and interruptedCount is
 	// their number.
@@ -44,12 +44,12 @@
 
 // New returns an empty register. OnCrash is called for each crash that is recorded
 // for a fingerprint, so that other processes can be notified; it may be nil.
-func New(onCrash func(fingerprint uint64, crash string)) *Register {
-	return &Register{interrupted: make(map[string][]suspectedRequest), crashes: make(map[uint64]map[string]time.Time), onCrash: onCrash}
+func New(onCrash func(fingerprint uint64, crash string)) *Tracker {
+	return &Tracker{interrupted: make(map[string][]suspectedRequest), crashes: make(map[uint64]map[string]time.Time), onCrash: onCrash}
 }
 
 // Broke records that an upstream interrupted the answer to a request.
-func (r *Register) Broke(now time.Time, upstream string, fingerprint uint64) {
+func (r *Tracker) Broke(now time.Time, upstream string, fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
@@ -62,7 +62,7 @@
 
 // Down records that the upstream refuses connections: the requests that it
 // interrupted shortly before were being executed when it crashed.
-func (r *Register) Down(now time.Time, upstream string) {
+func (r *Tracker) Down(now time.Time, upstream string) {
 	r.mu.Lock()
 	suspicions := r.interrupted[upstream]
 	delete(r.interrupted, upstream)
@@ -84,8 +84,8 @@
 	}
 }
 
-// Learn records a crash that another process detected, and reports whether it is new.
-func (r *Register) Learn(now time.Time, fingerprint uint64, crash string) bool {
+// RecordRemote records a crash that another process detected, and reports whether it is new.
+func (r *Tracker) RecordRemote(now time.Time, fingerprint uint64, crash string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.crashes[fingerprint][crash]; known {
@@ -95,7 +95,7 @@
 	return true
 }
 
-func (r *Register) record(now time.Time, fingerprint uint64, crash string) {
+func (r *Tracker) record(now time.Time, fingerprint uint64, crash string) {
 	if r.crashes[fingerprint] == nil {
 		r.crashes[fingerprint] = make(map[string]time.Time)
 	}
@@ -103,7 +103,7 @@
 }
 
 // Blocked reports whether requests with the fingerprint are refused.
-func (r *Register) Blocked(now time.Time, fingerprint uint64) bool {
+func (r *Tracker) Blocked(now time.Time, fingerprint uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
@@ -111,7 +111,7 @@
 }
 
 // expire removes expired entries, at most once a second.
-func (r *Register) expire(now time.Time) {
+func (r *Tracker) expire(now time.Time) {
 	if now.Sub(r.lastExpiry) < time.Second {
 		return
 	}
--- a/internal/limit/crash/crash_test.go
+++ b/internal/limit/crash/crash_test.go
@@ -17,7 +17,7 @@
 func TestRequestIsRefusedAfterItsThirdCrash(t *testing.T) {
 	const guilty, innocent = 1, 2
 	other := crash.New(nil)
-	r := crash.New(func(fingerprint uint64, upstream string) { other.Learn(start, fingerprint, upstream) })
+	r := crash.New(func(fingerprint uint64, upstream string) { other.RecordRemote(start, fingerprint, upstream) })
 	for i, upstream := range []string{"a", "b", "c"} {
 		now := start.Add(time.Duration(i) * 5 * time.Second)
 		require.False(t, r.Blocked(now, guilty))
--- a/internal/limit/quota/ledger.go
+++ b/internal/limit/quota/ledger.go
@@ -45,16 +45,16 @@
 
 // Totals is the usage at all other gateways, as it is sent to one gateway.
 type Totals struct {
-	// Run identifies the ledger. Totals of different ledgers cannot be compared, as
+	// LedgerRun identifies the ledger. Totals of different ledgers cannot be compared, as
 	// they count from different times.
-	Run uint64
-	// Others is what each workspace used at all other gateways, and Part the
+	LedgerRun uint64
+	// OthersUsed is what each workspace used at all other gateways, and Part the
 	// fraction of the known gateways that it covers.
-	Others map[string]float64
-	Part   float64
-	// Fresh reports that all gateways that it covers have just started, and that
+	OthersUsed map[string]float64
+	Coverage   float64
+	// AllJustStarted reports that all gateways that it covers have just started, and that
 	// Others includes all that they used.
-	Fresh bool
+	AllJustStarted bool
 }
 
 // Report records a gateway's usage. Usage before the gateway's first report to this
@@ -105,5 +105,5 @@
 		others[workspace] = count - ownUsed
 	}
 	coverage := min(1, float64(reporting)/float64(max(1, known)))
-	return Totals{Run: run, Others: others, Part: coverage, Fresh: fresh && reporting > 0}
+	return Totals{LedgerRun: run, OthersUsed: others, Coverage: coverage, AllJustStarted: fresh && reporting > 0}
 }
--- a/internal/limit/quota/quota.go
+++ b/internal/limit/quota/quota.go
@@ -65,8 +65,8 @@
 	isolated bool
 }
 
-// Keeper holds the buckets of all workspaces. It is safe for concurrent use.
-type Keeper struct {
+// Limiter holds the buckets of all workspaces. It is safe for concurrent use.
+type Limiter struct {
 	// gatewayCount returns the number of known gateways.
 	gatewayCount func() int
 
@@ -90,17 +90,17 @@
 
 // Options holds the deployment's settings for quotas.
 type Options struct {
-	// Full states that nothing was used before, because the whole fleet starts for
+	// StartFull states that nothing was used before, because the whole fleet starts for
 	// the first time.
-	Full bool
+	StartFull bool
 	// Slack is by how much all gateways together may exceed a quota that counts
 	// tokens. Each may go into debt by its part of it, so that large requests are
 	// not refused in favor of small ones.
 	Slack float64
-	// Over is the fraction by which all gateways together may exceed what a
+	// ExcessFraction is the fraction by which all gateways together may exceed what a
 	// workspace may use in a Window.
-	Over   float64
-	Window time.Duration
+	ExcessFraction float64
+	Window         time.Duration
 }
 
 // restartLevel returns the level of a workspace's bucket that all newly started
@@ -109,38 +109,38 @@
 // callers below their quotas are refused in the second after a restart of all
 // gateways.
 func (o Options) restartLevel(w *catalog.Workspace) float64 {
-	refilled := w.PerSecond * minRestartPause.Seconds()
-	allowedExcess := o.Over * (w.PerSecond*o.Window.Seconds() + w.Burst)
-	return min(w.Burst, refilled+restartExcessFraction*allowedExcess)
+	refilled := w.QuotaPerSecond * minRestartPause.Seconds()
+	allowedExcess := o.ExcessFraction * (w.QuotaPerSecond*o.Window.Seconds() + w.QuotaBurst)
+	return min(w.QuotaBurst, refilled+restartExcessFraction*allowedExcess)
 }
 
 // New returns a keeper without workspaces. Known returns the number of known
 // gateways.
-func New(options Options, known func() int) *Keeper {
-	return &Keeper{gatewayCount: known, options: options, buckets: make(map[string]*bucket), othersUsed: make(map[string]float64)}
+func New(options Options, known func() int) *Limiter {
+	return &Limiter{gatewayCount: known, options: options, buckets: make(map[string]*bucket), othersUsed: make(map[string]float64)}
 }
 
 // SetOptions changes the deployment's settings for quotas.
-func (k *Keeper) SetOptions(options Options) {
+func (k *Limiter) SetOptions(options Options) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.options = options
 }
 
-// Know creates buckets for the workspaces that have a quota. If a bucket
+// AddWorkspaces creates buckets for the workspaces that have a quota. If a bucket
 // is created only at the first request of a workspace, it lacks what the other gateways
 // refilled and used before.
-func (k *Keeper) Know(now time.Time, workspaces []catalog.Workspace) {
+func (k *Limiter) AddWorkspaces(now time.Time, workspaces []catalog.Workspace) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range workspaces {
-		if w := &workspaces[i]; w.PerSecond > 0 {
+		if w := &workspaces[i]; w.QuotaPerSecond > 0 {
 			k.bucketAt(now, w)
 		}
 	}
 }
 
-func (k *Keeper) bucketAt(now time.Time, w *catalog.Workspace) *bucket {
+func (k *Limiter) bucketAt(now time.Time, w *catalog.Workspace) *bucket {
 	b := k.buckets[w.Name]
 	if b == nil {
 		b = &bucket{level: k.initialLevel(w), refilledAt: now, createdAt: now, recentSince: now, charged: k.othersUsed[w.Name]}
@@ -148,12 +148,12 @@
 	}
 	b.workspace = w
 	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
-		refilled := w.PerSecond * elapsed.Seconds() * k.rateFraction(now)
+		refilled := w.QuotaPerSecond * elapsed.Seconds() * k.rateFraction(now)
 		b.level += refilled
 		b.refilled += refilled
 		b.refilledAt = now
 	}
-	b.level = min(b.level, w.Burst)
+	b.level = min(b.level, w.QuotaBurst)
 	k.limitIsolated(now, b)
 	return b
 }
@@ -161,7 +161,7 @@
 // limitIsolated restricts a gateway that receives no totals to its part of what was
 // left at the last ones. Otherwise gateways that cannot reach each other would each
 // use up all of it, and a workspace would get it once for each of them.
-func (k *Keeper) limitIsolated(now time.Time, b *bucket) {
+func (k *Limiter) limitIsolated(now time.Time, b *bucket) {
 	overdue := k.totalsOverdue(now, totalsTimeout)
 	if overdue && !b.isolated {
 		b.level = min(b.level, b.level/float64(max(1, k.gatewayCount())))
@@ -171,16 +171,16 @@
 
 // totalsOverdue reports whether the last totals, if there were any, are older than the
 // duration.
-func (k *Keeper) totalsOverdue(now time.Time, after time.Duration) bool {
+func (k *Limiter) totalsOverdue(now time.Time, after time.Duration) bool {
 	return !k.totalsAt.IsZero() && now.Sub(k.totalsAt) > after
 }
 
 // initialLevel returns the level of a new bucket: an even part or, shortly after a
 // restart of all gateways, what the others left of the shared level. Later, their
 // usage has long been refilled, and does not tell what is left.
-func (k *Keeper) initialLevel(w *catalog.Workspace) float64 {
-	if k.options.Full {
-		return w.Burst
+func (k *Limiter) initialLevel(w *catalog.Workspace) float64 {
+	if k.options.StartFull {
+		return w.QuotaBurst
 	}
 	start := k.options.restartLevel(w)
 	part := start / float64(max(1, k.gatewayCount()))
@@ -190,36 +190,36 @@
 // mergeStartingParts extends the bucket of each workspace to all gateways that the
 // totals cover. After a restart of all, each gateway began with an even part and an
 // even part of the refill; what the others did not use of theirs may be used here.
-func (k *Keeper) mergeStartingParts(now time.Time, t Totals) {
+func (k *Limiter) mergeStartingParts(now time.Time, t Totals) {
 	for name, b := range k.buckets {
-		used := max(0, t.Others[name]-b.charged)
+		used := max(0, t.OthersUsed[name]-b.charged)
 		b.level -= used
 		b.charged += used
 		ownPart := k.sharedCoverage
 		if ownPart == 0 {
 			ownPart = 1 / float64(max(1, k.gatewayCount()))
 		}
-		b.level += k.options.restartLevel(b.workspace) * max(0, t.Part-ownPart)
-		refilled := max(0, b.workspace.PerSecond*now.Sub(b.createdAt).Seconds()*t.Part-b.refilled)
+		b.level += k.options.restartLevel(b.workspace) * max(0, t.Coverage-ownPart)
+		refilled := max(0, b.workspace.QuotaPerSecond*now.Sub(b.createdAt).Seconds()*t.Coverage-b.refilled)
 		b.level += refilled
 		b.refilled += refilled
 	}
-	k.sharedCoverage = max(k.sharedCoverage, t.Part)
+	k.sharedCoverage = max(k.sharedCoverage, t.Coverage)
 }
 
 // Settles reports whether the process is new and still waits for the fleet's totals.
 // A request that exceeds this gateway's part should be held for that time instead of
 // refused.
-func (k *Keeper) Settles(now time.Time) bool {
+func (k *Limiter) Settles(now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	complete := !k.totalsAt.IsZero() && k.coverage >= startupCoverage
-	return !k.options.Full && !complete && now.Sub(k.firstRequest) < startupWait
+	return !k.options.StartFull && !complete && now.Sub(k.firstRequest) < startupWait
 }
 
 // rateFraction returns the fraction of the fleet's rate by which the buckets are
 // refilled: gateways that the totals do not cover may be using their even part.
-func (k *Keeper) rateFraction(now time.Time) float64 {
+func (k *Limiter) rateFraction(now time.Time) float64 {
 	if now.Sub(k.totalsAt) > totalsTimeout {
 		return 1 / float64(max(1, k.gatewayCount()))
 	}
@@ -227,7 +227,7 @@
 }
 
 // Take takes the cost from the workspace's bucket, or returns when to retry.
-func (k *Keeper) Take(now time.Time, w *catalog.Workspace, cost float64) (bool, time.Duration) {
+func (k *Limiter) Take(now time.Time, w *catalog.Workspace, cost float64) (bool, time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.firstRequest.IsZero() {
@@ -236,12 +236,12 @@
 	b := k.bucketAt(now, w)
 	// Small and large requests needed the same level, so that small ones do not
 	// starve large ones by taking each token as it is refilled.
-	needed := max(minNeededFraction*w.Burst, min(cost-k.maxDebt(w), maxNeededFraction*w.Burst))
+	needed := max(minNeededFraction*w.QuotaBurst, min(cost-k.maxDebt(w), maxNeededFraction*w.QuotaBurst))
 	if now.Sub(b.recentSince) > reportDelay {
 		b.takenRecently, b.recentSince = 0, now
 	}
 	if b.level < needed || !k.withinInterval(now, b, w) {
-		wait := time.Duration((needed - b.level) / w.PerSecond * float64(time.Second))
+		wait := time.Duration((needed - b.level) / w.QuotaPerSecond * float64(time.Second))
 		return false, min(max(wait, minRetryAfter), maxRetryAfter)
 	}
 	b.level -= cost
@@ -251,8 +251,8 @@
 }
 
 // maxDebt returns how far below zero a request may take the bucket at this gateway.
-func (k *Keeper) maxDebt(w *catalog.Workspace) float64 {
-	if !w.ByTokens {
+func (k *Limiter) maxDebt(w *catalog.Workspace) float64 {
+	if !w.QuotaCountsTokens {
 		return 0
 	}
 	return k.options.Slack / float64(max(1, k.gatewayCount()))
@@ -261,9 +261,9 @@
 // withinInterval limits what one gateway takes between two reports: all gateways
 // together must not take more than the bucket holds before they know each other's
 // usage. A single request is always allowed.
-func (k *Keeper) withinInterval(now time.Time, b *bucket, w *catalog.Workspace) bool {
+func (k *Limiter) withinInterval(now time.Time, b *bucket, w *catalog.Workspace) bool {
 	overdue := k.totalsOverdue(now, reportDelay)
-	if b.level > w.Burst/2 && !overdue {
+	if b.level > w.QuotaBurst/2 && !overdue {
 		return true
 	}
 	gateways := float64(max(1, k.gatewayCount()))
@@ -273,23 +273,23 @@
 	if !overdue {
 		part *= 2
 	}
-	return b.takenRecently <= part+w.PerSecond*reportDelay.Seconds()/gateways
+	return b.takenRecently <= part+w.QuotaPerSecond*reportDelay.Seconds()/gateways
 }
 
 // Return refunds the cost of a request that was not executed.
-func (k *Keeper) Return(w *catalog.Workspace, cost float64) {
+func (k *Limiter) Return(w *catalog.Workspace, cost float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	b := k.buckets[w.Name]
 	if b == nil {
 		return
 	}
-	b.level = min(b.level+cost, w.Burst)
+	b.level = min(b.level+cost, w.QuotaBurst)
 	b.used -= cost
 }
 
 // Used returns what each workspace has used here since the process started.
-func (k *Keeper) Used() map[string]float64 {
+func (k *Limiter) Used() map[string]float64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	used := make(map[string]float64, len(k.buckets))
@@ -299,20 +299,20 @@
 	return used
 }
 
-// Hear applies the totals of a ledger.
-func (k *Keeper) Hear(now time.Time, t Totals) {
+// ApplyTotals applies the totals of a ledger.
+func (k *Limiter) ApplyTotals(now time.Time, t Totals) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
-	case t.Fresh && !k.options.Full:
+	case t.AllJustStarted && !k.options.StartFull:
 		k.mergeStartingParts(now, t)
-	case t.Run == k.ledgerRun:
-		for workspace, count := range t.Others {
+	case t.LedgerRun == k.ledgerRun:
+		for workspace, count := range t.OthersUsed {
 			if b := k.buckets[workspace]; b != nil {
 				b.level -= count - k.othersUsed[workspace]
 				b.charged += count - k.othersUsed[workspace]
 			}
 		}
 	}
-	k.ledgerRun, k.othersUsed, k.coverage, k.totalsAt = t.Run, t.Others, t.Part, now
+	k.ledgerRun, k.othersUsed, k.coverage, k.totalsAt = t.LedgerRun, t.OthersUsed, t.Coverage, now
 }
--- a/internal/limit/quota/quota_test.go
+++ b/internal/limit/quota/quota_test.go
@@ -25,7 +25,7 @@
 
 // fleet is a set of gateways that report to a ledger every 100 ms.
 type fleet struct {
-	limiters     []*quota.Keeper
+	limiters     []*quota.Limiter
 	ledger       *quota.Ledger
 	disconnected map[int]bool
 	// startedAt is when the gateways' processes started.
@@ -34,7 +34,7 @@
 
 func newFleet(startedAt time.Time, size int, full bool) *fleet {
 	f := &fleet{ledger: quota.NewLedger(), disconnected: make(map[int]bool), startedAt: startedAt}
-	options := quota.Options{Full: full, Slack: slack, Over: excessFraction, Window: window}
+	options := quota.Options{StartFull: full, Slack: slack, ExcessFraction: excessFraction, Window: window}
 	for range size {
 		f.limiters = append(f.limiters, quota.New(options, func() int { return size }))
 	}
@@ -53,7 +53,7 @@
 	}
 	for i, k := range f.limiters {
 		if !f.disconnected[i] {
-			k.Hear(now, f.ledger.Totals(now, fmt.Sprint(i), 1, known))
+			k.ApplyTotals(now, f.ledger.Totals(now, fmt.Sprint(i), 1, known))
 		}
 	}
 }
@@ -80,7 +80,7 @@
 }
 
 func newWorkspace() *catalog.Workspace {
-	return &catalog.Workspace{Name: "studio", PerSecond: 100_000, Burst: 100_000, ByTokens: true}
+	return &catalog.Workspace{Name: "studio", QuotaPerSecond: 100_000, QuotaBurst: 100_000, QuotaCountsTokens: true}
 }
 
 // A workspace sends seven times its quota through all five gateways, each of which
@@ -89,8 +89,8 @@
 func TestHotWorkspaceStaysWithinTheFleetsQuota(t *testing.T) {
 	f, w := newFleet(start, 5, true), newWorkspace()
 	taken := f.offer(start, 8*time.Second, w, 28, 5000)
-	require.LessOrEqual(t, taken, 1.1*(8*w.PerSecond+w.Burst)+slack)
-	require.GreaterOrEqual(t, taken, 0.9*(8*w.PerSecond+w.Burst), "requests below the quota must be served")
+	require.LessOrEqual(t, taken, 1.1*(8*w.QuotaPerSecond+w.QuotaBurst)+slack)
+	require.GreaterOrEqual(t, taken, 0.9*(8*w.QuotaPerSecond+w.QuotaBurst), "requests below the quota must be served")
 }
 
 // All callers of a workspace may use a single gateway, because the platform distributes
@@ -107,7 +107,7 @@
 			taken += 1500
 		}
 	}
-	require.GreaterOrEqual(t, taken, 0.9*(8*w.PerSecond+w.Burst))
+	require.GreaterOrEqual(t, taken, 0.9*(8*w.QuotaPerSecond+w.QuotaBurst))
 }
 
 // Two of five gateways are disconnected from the others and still get requests. Neither
@@ -120,8 +120,8 @@
 	later := start.Add(6 * time.Second)
 	f.offer(start.Add(4*time.Second), 2*time.Second, w, 28, 5000)
 	taken := f.offer(later, 8*time.Second, w, 28, 5000)
-	require.LessOrEqual(t, taken, 1.1*(8*w.PerSecond+w.Burst)+slack)
-	require.GreaterOrEqual(t, taken, 0.8*8*w.PerSecond)
+	require.LessOrEqual(t, taken, 1.1*(8*w.QuotaPerSecond+w.QuotaBurst)+slack)
+	require.GreaterOrEqual(t, taken, 0.8*8*w.QuotaPerSecond)
 }
 
 // Guards against granting the burst twice within a window: all gateways are killed at
@@ -131,7 +131,7 @@
 	w := newWorkspace()
 	before := newFleet(start, 5, true).offer(start, 4*time.Second, w, 28, 5000)
 	after := newFleet(start.Add(4500*time.Millisecond), 5, false).offer(start.Add(4500*time.Millisecond), 3500*time.Millisecond, w, 28, 5000)
-	require.LessOrEqual(t, before+after, 1.1*(8*w.PerSecond+w.Burst)+slack)
+	require.LessOrEqual(t, before+after, 1.1*(8*w.QuotaPerSecond+w.QuotaBurst)+slack)
 }
 
 // A restarted gateway counts its usage from zero. That must not look as if a workspace
@@ -142,14 +142,14 @@
 	l.Report(start, "a", quota.Report{Run: 1, Age: time.Minute, Used: map[string]float64{"studio": 500}})
 	l.Report(start, "a", quota.Report{Run: 2, Used: map[string]float64{"studio": 100}})
 	totals := l.Totals(start, "b", 1, 2)
-	require.InDelta(t, 600, totals.Others["studio"], 0.001)
-	require.InDelta(t, 0.5, totals.Part, 0.001)
+	require.InDelta(t, 600, totals.OthersUsed["studio"], 0.001)
+	require.InDelta(t, 0.5, totals.Coverage, 0.001)
 }
 
 // A prompt that costs more than the whole burst would never find enough tokens in the
 // bucket. It is accepted when the bucket is nearly full, and leaves a debt.
 func TestRequestLargerThanTheBurstIsServed(t *testing.T) {
-	k, w := quota.New(quota.Options{Full: true}, func() int { return 1 }), newWorkspace()
+	k, w := quota.New(quota.Options{StartFull: true}, func() int { return 1 }), newWorkspace()
 	ok, _ := k.Take(start, w, 150_000)
 	require.True(t, ok)
 	ok, wait := k.Take(start, w, 1000)
@@ -159,7 +159,7 @@
 
 // A refused request that was not executed costs its workspace nothing.
 func TestReturnedCostIsRefunded(t *testing.T) {
-	k, w := quota.New(quota.Options{Full: true}, func() int { return 1 }), newWorkspace()
+	k, w := quota.New(quota.Options{StartFull: true}, func() int { return 1 }), newWorkspace()
 	for range 20 {
 		ok, _ := k.Take(start, w, 50_000)
 		require.True(t, ok)
@@ -200,17 +200,17 @@
 	w := newWorkspace()
 	taken := 0.0
 	for i := range size {
-		k, ownLedger := quota.New(quota.Options{Over: excessFraction, Window: window}, func() int { return size }), quota.NewLedger()
+		k, ownLedger := quota.New(quota.Options{ExcessFraction: excessFraction, Window: window}, func() int { return size }), quota.NewLedger()
 		for at := time.Duration(0); at < 300*time.Millisecond; at += 10 * time.Millisecond {
 			now := start.Add(at)
 			ownLedger.Report(now, fmt.Sprint(i), quota.Report{Run: 1, Age: now.Sub(start), Used: k.Used()})
-			k.Hear(now, ownLedger.Totals(now, fmt.Sprint(i), 1, size))
+			k.ApplyTotals(now, ownLedger.Totals(now, fmt.Sprint(i), 1, size))
 			if ok, _ := k.Take(now, w, 1000); ok {
 				taken += 1000
 			}
 		}
 	}
-	require.LessOrEqual(t, taken, w.Burst+0.3*w.PerSecond)
+	require.LessOrEqual(t, taken, w.QuotaBurst+0.3*w.QuotaPerSecond)
 }
 
 // Guards against refusing callers below their quota after a power failure of all
@@ -227,8 +227,8 @@
 	taken := f.offer(start, 500*time.Millisecond, w, perGateway, cost)
 	f.disconnected = make(map[int]bool)
 	taken += f.offer(start.Add(500*time.Millisecond), 500*time.Millisecond, w, perGateway, cost)
-	require.GreaterOrEqual(t, taken, 0.8*(w.Burst+w.PerSecond))
-	require.LessOrEqual(t, taken, w.Burst+w.PerSecond)
+	require.GreaterOrEqual(t, taken, 0.8*(w.QuotaBurst+w.QuotaPerSecond))
+	require.LessOrEqual(t, taken, w.QuotaBurst+w.QuotaPerSecond)
 }
 
 // All gateways are killed twice within a window while a workspace sends seven times its
@@ -241,7 +241,7 @@
 		again := start.Add(at)
 		taken += newFleet(again, 5, false).offer(again, 2*time.Second, w, 28, 5000)
 	}
-	require.LessOrEqual(t, taken, (1+excessFraction)*(8*w.PerSecond+w.Burst)+slack)
+	require.LessOrEqual(t, taken, (1+excessFraction)*(8*w.QuotaPerSecond+w.QuotaBurst)+slack)
 }
 
 // Guards against refusing the first caller of a workspace at a gateway a minute after a
@@ -266,11 +266,11 @@
 // assumed the whole fleet had left.
 func TestDisconnectedGatewaysDoNotExceedTheQuota(t *testing.T) {
 	const size, disconnected, cost = 21, 9, 4000.0
-	w := &catalog.Workspace{Name: "hot", PerSecond: 640_000, Burst: 640_000, ByTokens: true}
-	allowed := (w.PerSecond*window.Seconds()+w.Burst)*(1+excessFraction) + slack
+	w := &catalog.Workspace{Name: "hot", QuotaPerSecond: 640_000, QuotaBurst: 640_000, QuotaCountsTokens: true}
+	allowed := (w.QuotaPerSecond*window.Seconds()+w.QuotaBurst)*(1+excessFraction) + slack
 	for _, before := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond, 2 * time.Second} {
 		f := newFleet(start, size, true)
-		normalRate := 0.6 * w.PerSecond / cost / size
+		normalRate := 0.6 * w.QuotaPerSecond / cost / size
 		f.offer(start, 4*time.Second, w, normalRate, cost)
 		overloadRate := 7 * normalRate
 		from := start.Add(4 * time.Second)
--- a/internal/limit/quota/restart_test.go
+++ b/internal/limit/quota/restart_test.go
@@ -33,13 +33,13 @@
 // addWorkspace adds the workspace to all gateways of a fleet.
 func addWorkspace(now time.Time, f *fleet, w *catalog.Workspace) {
 	for _, k := range f.limiters {
-		k.Know(now, []catalog.Workspace{*w})
+		k.AddWorkspaces(now, []catalog.Workspace{*w})
 	}
 }
 
 // takeAll sends the requests to their gateways and returns those that are held, how
 // many were refused and what was taken.
-func takeAll(now time.Time, w *catalog.Workspace, limiters []*quota.Keeper, requests []heldRequest) (held []heldRequest, refused int, taken float64) {
+func takeAll(now time.Time, w *catalog.Workspace, limiters []*quota.Limiter, requests []heldRequest) (held []heldRequest, refused int, taken float64) {
 	for _, request := range requests {
 		limiter := limiters[request.gateway]
 		ok, _ := limiter.Take(now, w, request.cost)
@@ -60,10 +60,10 @@
 // small for a long prompt, until it had received totals of all gateways.
 func TestRestartOfManyGatewaysRefusesNobodyBelowTheirQuota(t *testing.T) {
 	const size, known = 68, 73
-	w := &catalog.Workspace{Name: "small", PerSecond: 150_000, Burst: 150_000, ByTokens: true}
+	w := &catalog.Workspace{Name: "small", QuotaPerSecond: 150_000, QuotaBurst: 150_000, QuotaCountsTokens: true}
 	f := newFleet(start, size, false)
 	for i := range f.limiters {
-		f.limiters[i] = quota.New(quota.Options{Slack: slack, Over: excessFraction, Window: window}, func() int { return known })
+		f.limiters[i] = quota.New(quota.Options{Slack: slack, ExcessFraction: excessFraction, Window: window}, func() int { return known })
 	}
 	addWorkspace(start, f, w)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -75,7 +75,7 @@
 		if at >= 150*time.Millisecond && at%(100*time.Millisecond) == 0 {
 			f.exchangeReportsAmong(now, known)
 		}
-		arrivals := drawArrivals(rng, tick, size, 0.6*w.PerSecond)
+		arrivals := drawArrivals(rng, tick, size, 0.6*w.QuotaPerSecond)
 		offered += len(arrivals)
 		var newlyRefused int
 		held, newlyRefused, _ = takeAll(now, w, f.limiters, append(held, arrivals...))
@@ -91,7 +91,7 @@
 func TestRestartOfManyGatewaysStaysWithinTheAllowedExcess(t *testing.T) {
 	const size = 68
 	for seed := range uint64(5) {
-		w := &catalog.Workspace{Name: "hot", PerSecond: 150_000, Burst: 150_000, ByTokens: true}
+		w := &catalog.Workspace{Name: "hot", QuotaPerSecond: 150_000, QuotaBurst: 150_000, QuotaCountsTokens: true}
 		rng := rand.New(rand.NewPCG(seed, 3))
 		f, taken := newFleet(start, size, true), 0.0
 		addWorkspace(start, f, w)
@@ -109,11 +109,11 @@
 			if at%(100*time.Millisecond) == 0 && (at < restartAt || at > restartAt+800*time.Millisecond) {
 				f.exchangeReports(now)
 			}
-			_, _, takenNow := takeAll(now, w, f.limiters, drawArrivals(rng, tick, size, 6*w.PerSecond))
+			_, _, takenNow := takeAll(now, w, f.limiters, drawArrivals(rng, tick, size, 6*w.QuotaPerSecond))
 			taken += takenNow
 		}
 		t.Log(taken)
-		require.LessOrEqual(t, taken, (1+excessFraction)*(length.Seconds()*w.PerSecond+w.Burst)+slack, "seed %d", seed)
+		require.LessOrEqual(t, taken, (1+excessFraction)*(length.Seconds()*w.QuotaPerSecond+w.QuotaBurst)+slack, "seed %d", seed)
 	}
 }
 
@@ -121,12 +121,12 @@
 // gateway, until each workspace has sent a request there.
 func TestRestartedGatewayServesLongPromptsAtOnce(t *testing.T) {
 	const size = 68
-	w := &catalog.Workspace{Name: "small", PerSecond: 150_000, Burst: 150_000, ByTokens: true}
+	w := &catalog.Workspace{Name: "small", QuotaPerSecond: 150_000, QuotaBurst: 150_000, QuotaCountsTokens: true}
 	f := newFleet(start, size, true)
 	addWorkspace(start, f, w)
-	restarted := quota.New(quota.Options{Slack: slack, Over: excessFraction, Window: window}, func() int { return size })
+	restarted := quota.New(quota.Options{Slack: slack, ExcessFraction: excessFraction, Window: window}, func() int { return size })
 	later := start.Add(time.Minute)
-	restarted.Know(later, []catalog.Workspace{*w})
+	restarted.AddWorkspaces(later, []catalog.Workspace{*w})
 	f.limiters[0] = restarted
 	for at := time.Duration(0); at < time.Second; at += 100 * time.Millisecond {
 		f.exchangeReports(later.Add(at))
@@ -140,13 +140,13 @@
 // Guards against a new gateway that refuses a request just before it receives the
 // totals, and against one that holds a request for too long.
 func TestNewGatewayHoldsRequestsUntilItHasTotals(t *testing.T) {
-	w := &catalog.Workspace{Name: "small", PerSecond: 150_000, Burst: 150_000, ByTokens: true}
-	k := quota.New(quota.Options{Slack: slack, Over: excessFraction, Window: window}, func() int { return 68 })
+	w := &catalog.Workspace{Name: "small", QuotaPerSecond: 150_000, QuotaBurst: 150_000, QuotaCountsTokens: true}
+	k := quota.New(quota.Options{Slack: slack, ExcessFraction: excessFraction, Window: window}, func() int { return 68 })
 	ok, _ := k.Take(start, w, 10_000)
 	require.False(t, ok)
 	require.True(t, k.Settles(start))
 	require.True(t, k.Settles(start.Add(200*time.Millisecond)))
 	require.False(t, k.Settles(start.Add(300*time.Millisecond)))
-	k.Hear(start.Add(100*time.Millisecond), quota.Totals{Run: 1, Part: 1, Fresh: true})
+	k.ApplyTotals(start.Add(100*time.Millisecond), quota.Totals{LedgerRun: 1, Coverage: 1, AllJustStarted: true})
 	require.False(t, k.Settles(start.Add(100*time.Millisecond)))
 }
--- a/internal/observe/explain/explain.go
+++ b/internal/observe/explain/explain.go
@@ -98,9 +98,9 @@
 	return text, ""
 }
 
-// Story writes the lines of the request in order of time, preceded by the state of
+// WriteReport writes the lines of the request in order of time, preceded by the state of
 // each process that handled it. It reports whether a line was found.
-func Story(w io.Writer, id string, logs ...*Log) (found bool, err error) {
+func WriteReport(w io.Writer, id string, logs ...*Log) (found bool, err error) {
 	var merged []line
 	for _, log := range logs {
 		requestLines := log.linesOf(id)
--- a/internal/observe/explain/explain_test.go
+++ b/internal/observe/explain/explain_test.go
@@ -21,17 +21,17 @@
 	log, err := explain.Read("edge-1", file)
 	require.NoError(t, err)
 	var got bytes.Buffer
-	found, err := explain.Story(&got, "r1", log)
+	found, err := explain.WriteReport(&got, "r1", log)
 	require.NoError(t, err)
 	require.True(t, found)
 	want, err := os.ReadFile("testdata/story.golden")
 	require.NoError(t, err)
 	require.Equal(t, string(want), got.String())
 
-	found, err = explain.Story(&got, "r2", log)
+	found, err = explain.WriteReport(&got, "r2", log)
 	require.NoError(t, err)
 	require.True(t, found, "text of a log collector before a line must be skipped")
-	found, err = explain.Story(&got, "r3", log)
+	found, err = explain.WriteReport(&got, "r3", log)
 	require.NoError(t, err)
 	require.False(t, found)
 }
@@ -56,7 +56,7 @@
 			return
 		}
 		var out bytes.Buffer
-		_, err = explain.Story(&out, "x", log)
+		_, err = explain.WriteReport(&out, "x", log)
 		require.NoError(t, err)
 	})
 }
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -140,11 +140,11 @@
 	settings := gateway.Settings{
 		Name: "gateway-" + strconv.Itoa(i), Domain: "a", CallerAddress: callerAddress(i), LinkAddress: linkAddress(i),
 		ReadinessAddress: fmt.Sprintf("10.0.0.%d:82", i+1), MetricsAddress: fmt.Sprintf("10.0.0.%d:83", i+1),
-		GracePeriod: 8 * time.Second, ConfigApplyLimit: 2 * time.Second, Quota: quota.Options{Full: true},
+		GracePeriod: 8 * time.Second, ConfigApplyLimit: 2 * time.Second, Quota: quota.Options{StartFull: true},
 		Retry:     retry.Settings{Share: 0.2, Slack: 50, Window: 10 * time.Second},
 		ConfigKey: platform.ConfigPrefix, UpstreamPrefix: platform.UpstreamPrefix, OrderPrefix: platform.RolloutPrefix,
 	}
-	g := gateway.New(gateway.Parts{
+	g := gateway.New(gateway.Dependencies{
 		Settings: settings, Store: platform.NewStore(storeAddress(i), f.network.DialContext), Decoder: platform.Decoder{},
 		Translator: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(), Dialer: f.network,
 		Listen: func(_, address string) (net.Listener, error) { return f.network.Listen(address) },
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -95,13 +95,13 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Parts are the dependencies of a gateway.
-type Parts struct {
+// Dependencies are the dependencies of a gateway.
+type Dependencies struct {
 	Settings      Settings
 	Store         kv.Store
 	Decoder       Decoder
 	Translator    flow.Translator
-	AnswerHeaders exchange.Names
+	AnswerHeaders exchange.HeaderNames
 	Dialer        Dialer
 	// Listen opens a listener.
 	Listen func(network, address string) (net.Listener, error)
@@ -136,9 +136,9 @@
 	roster            *roster.Roster
 	upstreams         *upstreamView
 	pool              *exchange.Pool
-	quota             *quota.Keeper
+	quota             *quota.Limiter
 	ledger            *quota.Ledger
-	crashRegister     *crash.Register
+	crashRegister     *crash.Tracker
 	peers             *peers
 	mesh              *mesh.Mesh
 	granter           *granter.Granter
@@ -177,7 +177,7 @@
 }
 
 // New returns a gateway that has not been started.
-func New(parts Parts) *Gateway {
+func New(parts Dependencies) *Gateway {
 	s, now, logger := parts.Settings, parts.Now, parts.Logger
 	g := &Gateway{
 		settings: s, decoder: parts.Decoder, listen: parts.Listen, logger: logger, now: now,
@@ -214,7 +214,7 @@
 		Metrics: g.metrics, Logger: logger, Now: now, Leaving: g.stopTimes,
 		Elsewhere: func() bool { return g.peers.otherAcceptsRequests(now()) },
 	})
-	g.ingress = ingress.New(ingress.Parts{
+	g.ingress = ingress.New(ingress.Dependencies{
 		Handler: requests, Catalog: g.catalog.Load, Metrics: g.metrics, Logger: logger, Now: now,
 	})
 	return g
@@ -285,7 +285,7 @@
 	g.mesh.AnnounceLeaving()
 	ctx, cancel := context.WithTimeout(context.Background(), grace-stopMargin)
 	defer cancel()
-	err := g.ingress.Stop(ctx)
+	err := g.ingress.Shutdown(ctx)
 	g.mesh.AnnounceExit()
 	return err
 }
@@ -323,7 +323,7 @@
 			return nil
 		case <-ticker.C:
 			now := g.now()
-			g.pool.Sweep(now)
+			g.pool.CloseExpired(now)
 			g.logOmittedLines(now)
 			if g.roster.Expire(now) {
 				g.logger.Info("expired upstreams dropped")
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -123,11 +123,11 @@
 		// successor would start without the learned estimates. As the process has
 		// not restarted, it keeps its former rank.
 		p.mu.Lock()
-		p.rank = min(p.rank, m.rank(item.Created))
+		p.rank = min(p.rank, m.rank(item.CreatedRevision))
 		p.mu.Unlock()
 		return
 	}
-	p.mesh.AddRankedPeer(now, m.Address, m.rank(item.Created))
+	p.mesh.AddRankedPeer(now, m.Address, m.rank(item.CreatedRevision))
 }
 
 // memberPrefix is the prefix of the gateways' registrations in the store.
@@ -209,7 +209,7 @@
 func (p *peers) HandleGossip(now time.Time, peer string, g *wire.Gossip) {
 	p.granter.OwnerUp(peer)
 	for _, c := range g.Crashes {
-		if p.crashRegister.Learn(now, c.Fingerprint, c.Upstream) && p.isHub() {
+		if p.crashRegister.RecordRemote(now, c.Fingerprint, c.Upstream) && p.isHub() {
 			p.recordCrash(c.Fingerprint, c.Upstream)
 		}
 	}
@@ -232,8 +232,8 @@
 		})
 		p.mesh.Send(peer, quotaMessage(p.quotaTotals(now, peer)))
 	case *wire.Envelope_QuotaTotals:
-		p.quota.Hear(now, quota.Totals{
-			Run: body.QuotaTotals.Run, Others: body.QuotaTotals.Others, Part: body.QuotaTotals.Part, Fresh: body.QuotaTotals.Fresh,
+		p.quota.ApplyTotals(now, quota.Totals{
+			LedgerRun: body.QuotaTotals.Run, OthersUsed: body.QuotaTotals.Others, Coverage: body.QuotaTotals.Part, AllJustStarted: body.QuotaTotals.Fresh,
 		})
 	case *wire.Envelope_SnapshotAsk:
 		p.mesh.Send(peer, &wire.Envelope{Body: &wire.Envelope_Snapshot{Snapshot: p.buildSnapshot(body.SnapshotAsk)}})
@@ -367,7 +367,7 @@
 		case "":
 		case p.settings.Name:
 			p.ledger.Report(now, p.settings.Name, report)
-			p.quota.Hear(now, p.quotaTotals(now, p.settings.Name))
+			p.quota.ApplyTotals(now, p.quotaTotals(now, p.settings.Name))
 		default:
 			p.mesh.Send(scheduler, &wire.Envelope{Body: &wire.Envelope_QuotaReport{QuotaReport: &wire.QuotaReport{
 				Run: report.Run, AgeMs: uint32(report.Age.Milliseconds()), Used: report.Used,
@@ -384,7 +384,7 @@
 
 func quotaMessage(t quota.Totals) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_QuotaTotals{QuotaTotals: &wire.QuotaTotals{
-		Run: t.Run, Part: t.Part, Others: t.Others, Fresh: t.Fresh,
+		Run: t.LedgerRun, Part: t.Coverage, Others: t.OthersUsed, Fresh: t.AllJustStarted,
 	}}}
 }
 
--- a/internal/role/gateway/peers_internal_test.go
+++ b/internal/role/gateway/peers_internal_test.go
@@ -17,7 +17,7 @@
 // Guards against a configuration that is never requested again after a peer's answer
 // was lost with its link, on a gateway that cannot reach the store.
 func TestLostSnapshotIsRequestedAgain(t *testing.T) {
-	g := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	start := time.Unix(1_000_000, 0)
 	gossip := &wire.Gossip{ConfigVersion: 7}
 	g.peers.requestMissing(start, "peer", gossip)
@@ -32,10 +32,10 @@
 // after a store outage longer than its lease: its successor, without the learned
 // speeds, would treat all engines alike in the middle of an overload.
 func TestRankSurvivesExpiredRegistration(t *testing.T) {
-	g := New(Parts{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
 	for _, created := range []int64{2, 28} {
-		g.peers.Apply(now, kv.Changes{Events: []kv.Event{{Item: kv.Item{Key: memberPrefix + "me", Value: []byte(`{}`), Created: created}}}})
+		g.peers.Apply(now, kv.Changes{Events: []kv.Event{{Item: kv.Item{Key: memberPrefix + "me", Value: []byte(`{}`), CreatedRevision: created}}}})
 	}
 	require.Equal(t, int64(2), g.peers.rank)
 }
@@ -73,7 +73,7 @@
 // Guards against a gateway that goes on sending a request which crashed upstreams of
 // other gateways: most gateways learn of a crash from the hubs, which must relay it.
 func TestPeerCrashIsRelayedOnce(t *testing.T) {
-	g := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
 	for range 3 {
 		g.peers.HandleGossip(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: 7, Upstream: "engine"}}})
@@ -101,8 +101,8 @@
 func TestCrashesThatPeersRepeatAreForgotten(t *testing.T) {
 	const fingerprint, remembered = 7, 2 * time.Minute
 	now := time.Unix(1_000_000, 0)
-	a := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
-	b := New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	a := New(Dependencies{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	b := New(Dependencies{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	sendGossip := func(from, to *Gateway) {
 		gossip := &wire.Gossip{}
 		from.peers.FillGossip(now, gossip)
--- a/internal/role/gateway/rollouts_internal_test.go
+++ b/internal/role/gateway/rollouts_internal_test.go
@@ -16,7 +16,7 @@
 // Guards against a rollout that stays at an outdated state: two states arrived at once,
 // from the store and from a peer, and the older one was applied last.
 func TestLaterOfConcurrentRolloutStatesWins(t *testing.T) {
-	controller := newRolloutController(New(Parts{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now}))
+	controller := newRolloutController(New(Dependencies{Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now}))
 	encode := func(phase rollout.Phase) []byte {
 		value, err := json.Marshal(rollout.State{Order: 1, Target: "v2", Phase: phase})
 		require.NoError(t, err)
--- a/internal/role/gateway/snapshots_internal_test.go
+++ b/internal/role/gateway/snapshots_internal_test.go
@@ -28,7 +28,7 @@
 func (stateDecoder) UpstreamID(key string) string { return key }
 
 func newSnapshotGateway(name string) *Gateway {
-	return New(Parts{
+	return New(Dependencies{
 		Settings: Settings{Name: name, ConfigApplyLimit: 4 * time.Second}, Decoder: stateDecoder{}, Dialer: &net.Dialer{},
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
--- a/internal/role/gateway/upstreams.go
+++ b/internal/role/gateway/upstreams.go
@@ -131,7 +131,7 @@
 	} else if old, ok := g.roster.Get(id); !ok || !old.EqualExceptHeartbeat(u) {
 		changed = true
 		g.logger.Info("upstream changed", "upstream", id, "service", u.Service, "address", u.Address,
-			"state", u.State, "version", u.Version, "born", u.Born, "revision", e.Revision)
+			"state", u.State, "version", u.Version, "born", u.StartedAtMs, "revision", e.Revision)
 		g.recordChange(e.Revision)
 	}
 	v.mu.Lock()
--- a/internal/role/gateway/views.go
+++ b/internal/role/gateway/views.go
@@ -66,7 +66,7 @@
 	if current := g.catalog.Load(); current != nil && current.Version() >= next.Version() {
 		return false
 	}
-	g.quota.Know(g.now(), next.Workspaces())
+	g.quota.AddWorkspaces(g.now(), next.Workspaces())
 	g.catalog.Store(next)
 	g.peers.invalidateScheduler()
 	g.rawConfig.Store(&raw)
@@ -89,8 +89,8 @@
 			continue
 		}
 		engines = append(engines, board.Upstream{
-			ID: u.ID, Service: u.Service, Domain: u.Domain, Version: u.Version, Slots: u.Slots, Born: u.Born,
-			EventTokens: service.Engine.EventTokens,
+			ID: u.ID, Service: u.Service, Domain: u.Domain, Version: u.Version, Slots: u.Slots, Born: u.StartedAtMs,
+			EventTokens: service.Engine.TokensPerEvent,
 		})
 	}
 	g.granter.SetUpstreams(engines)
--- a/internal/role/gateway/views_internal_test.go
+++ b/internal/role/gateway/views_internal_test.go
@@ -31,7 +31,7 @@
 // two arrived at once, from the store and from a peer, and peers that could not reach
 // the store never got the later one.
 func TestActiveConfigurationIsTheOnePassedOn(t *testing.T) {
-	g := New(Parts{Decoder: versionDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Decoder: versionDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	for version := 1; version < 20_000; version += 2 {
 		var wg sync.WaitGroup
 		wg.Go(func() { g.applyConfig([]byte(strconv.Itoa(version)), "peer") })
@@ -45,7 +45,7 @@
 // Guards against an engine that gets requests after it registered as draining: two
 // changes arrived at once, and the granter got the older engine list last.
 func TestGranterGetsLatestEngineList(t *testing.T) {
-	g := New(Parts{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	granted := false
 	g.granter = granter.New(time.Now, func(v board.Verdict) { granted = granted || v.Upstream != "" }, g.logger)
 	g.catalog.Store(catalog.New(catalog.Content{Version: 1, Services: []catalog.Service{{Name: "tutor", Engine: &catalog.Engine{Slots: 1}}}}))
@@ -79,7 +79,7 @@
 // Guards against a removed upstream that is passed on to peers for ever: a peer's list,
 // read before the removal, was applied after it.
 func TestStaleListIsNotPassedOn(t *testing.T) {
-	g := New(Parts{Decoder: idDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Decoder: idDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
 	stale := kv.Snapshot{Items: []kv.Item{{Key: "removed", Revision: 91}}, Revision: 102}
 	g.upstreams.Replace(now, kv.Snapshot{Items: stale.Items, Revision: 99})
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -229,7 +229,7 @@
 	return &wire.Envelope{Body: &wire.Envelope_PlaceAsk{PlaceAsk: &wire.PlaceAsk{
 		Id: req.ID, Number: number, Service: req.Service, Tier: uint32(req.Tier), Domain: c.Domain,
 		DueMs: req.Due.Sub(now).Milliseconds(), UntilMs: req.Until.Sub(now).Milliseconds(),
-		Prompt: uint32(req.Prompt), Output: uint32(req.Output), MaxGapMs: uint32(req.Route.MaxGap.Milliseconds()),
+		Prompt: uint32(req.Prompt), Output: uint32(req.Output), MaxGapMs: uint32(req.Route.EventGapTarget.Milliseconds()),
 		Exclude: req.Exclude, Again: req.Again, Fingerprint: req.Fingerprint,
 		OnlyVersion: req.Only, NotVersion: req.Not, End: endingMessage(req.Ending),
 	}}}
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -51,8 +51,8 @@
 	// LatencyTarget is the target for the time to a complete answer, or to a stream's
 	// first event.
 	LatencyTarget time.Duration
-	// MaxGap is the target for the longest pause between two events of a stream.
-	MaxGap time.Duration
+	// EventGapTarget is the target for the longest pause between two events of a stream.
+	EventGapTarget time.Duration
 	// Tier is the priority of requests; 0 is served first.
 	Tier int
 	// MaxAttempts is the largest number of upstreams that one request is sent to.
@@ -71,10 +71,10 @@
 type Engine struct {
 	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// CacheTokens is the size of the KV cache for running and cached tokens.
-	CacheTokens int
-	// EventTokens is the number of tokens in one event of a stream.
-	EventTokens int
+	// KVCacheTokens is the size of the KV cache for running and cached tokens.
+	KVCacheTokens int
+	// TokensPerEvent is the number of tokens in one event of a stream.
+	TokensPerEvent int
 }
 
 // Service is a set of interchangeable upstreams.
@@ -88,27 +88,27 @@
 
 // Workspace is a customer with its API keys and its quota.
 type Workspace struct {
-	Name string
-	Keys []string
+	Name    string
+	APIKeys []string
 	// Tier takes precedence over the route's tier; a negative tier means none.
 	Tier int
-	// PerSecond is the quota's rate; 0 means no quota.
-	PerSecond float64
-	// Burst is the quota's burst size.
-	Burst float64
-	// ByTokens reports whether the quota counts tokens instead of requests.
-	ByTokens bool
-	// PlainTokens is the number of tokens charged for a request without token counts.
-	PlainTokens float64
+	// QuotaPerSecond is the quota's rate; 0 means no quota.
+	QuotaPerSecond float64
+	// QuotaBurst is the quota's burst size.
+	QuotaBurst float64
+	// QuotaCountsTokens reports whether the quota counts tokens instead of requests.
+	QuotaCountsTokens bool
+	// DefaultTokens is the number of tokens charged for a request without token counts.
+	DefaultTokens float64
 }
 
 // Limits bound the size of callers' requests, the time to send them and the time that
 // a connection may be idle.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Content is the content of one version of the configuration.
@@ -152,7 +152,7 @@
 	for i := range content.Workspaces {
 		workspace := &content.Workspaces[i]
 		c.workspaces[workspace.Name] = workspace
-		for _, key := range workspace.Keys {
+		for _, key := range workspace.APIKeys {
 			c.workspacesByKey[key] = workspace
 		}
 	}
@@ -185,8 +185,8 @@
 // HasWorkspaces reports whether there are workspaces, so that requests need an API key.
 func (c *Catalog) HasWorkspaces() bool { return len(c.workspaces) > 0 }
 
-// Workspace returns the workspace of the API key, or nil.
-func (c *Catalog) Workspace(key string) *Workspace { return c.workspacesByKey[key] }
+// WorkspaceByKey returns the workspace of the API key, or nil.
+func (c *Catalog) WorkspaceByKey(key string) *Workspace { return c.workspacesByKey[key] }
 
 // tierWidth is the number of route tiers within one workspace tier.
 const tierWidth = 16
--- a/internal/state/kv/kv.go
+++ b/internal/state/kv/kv.go
@@ -35,8 +35,8 @@
 	Key      string
 	Value    []byte
 	Revision int64
-	// Created is the revision at which the key was created.
-	Created int64
+	// CreatedRevision is the revision at which the key was created.
+	CreatedRevision int64
 }
 
 // Event is a change of one key. The event of a deletion has no value.
@@ -76,7 +76,7 @@
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
-	Removes    []string
+	Deletes    []string
 }
 
 // Store is a key-value store. All methods return when the context ends.
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -26,12 +26,12 @@
 	Version string
 	Slots   int
 	State   State
-	// Born is the start time of the upstream in Unix milliseconds. An upstream that
+	// StartedAtMs is the start time of the upstream in Unix milliseconds. An upstream that
 	// restarts under the same ID keeps nothing from before the restart.
-	Born int64
-	// Warming is the remaining warm-up time that the upstream reported, during which
+	StartedAtMs int64
+	// WarmUpRemaining is the remaining warm-up time that the upstream reported, during which
 	// it is slow.
-	Warming time.Duration
+	WarmUpRemaining time.Duration
 	// Revision is the revision of the registration's last change in the store.
 	Revision int64
 }
@@ -39,7 +39,7 @@
 // EqualExceptHeartbeat reports whether two registrations differ at most in what a
 // heartbeat changes.
 func (u Upstream) EqualExceptHeartbeat(other Upstream) bool {
-	u.Revision, u.Warming = other.Revision, other.Warming
+	u.Revision, u.WarmUpRemaining = other.Revision, other.WarmUpRemaining
 	return u == other
 }
 
--- a/internal/trial/soak/backend_test.go
+++ b/internal/trial/soak/backend_test.go
@@ -204,16 +204,16 @@
 		panic(http.ErrAbortHandler)
 	}
 	names := platform.AnswerHeaders()
-	w.Header().Set(names.ID, attempt)
+	w.Header().Set(names.RequestID, attempt)
 	w.Header().Set(names.Load, fmt.Sprintf("%d,0,%d", u.running.Load(), slots))
 	if r.Header.Get(instanceHeader) != id {
-		w.Header().Set(names.NotRun, "1")
+		w.Header().Set(names.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	if u.running.Add(1) > slots {
 		u.running.Add(-1)
-		w.Header().Set(names.NotRun, "1")
+		w.Header().Set(names.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
