--- a/cmd/persimmonridge/gateway.go
+++ b/cmd/persimmonridge/gateway.go
@@ -58,7 +58,7 @@
 	g := gateway.New(gateway.Dependencies{
 		Settings: gatewaySettings(node), Store: platform.NewStore(node.Store, dial.Dialer{}.DialContext),
 		Decoder: platform.Decoder{}, Translator: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(),
-		Dialer: dial.Dialer{}, Listen: net.Listen, Logger: logger, OmittedLogLines: handler.LeftOut, Now: time.Now,
+		Dialer: dial.Dialer{}, Listen: net.Listen, Logger: logger, OmittedLogLines: handler.Omitted, Now: time.Now,
 	})
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/edge/flow/admit.go
+++ b/internal/edge/flow/admit.go
@@ -28,7 +28,7 @@
 		c.refuse(http.StatusNotFound, 0, "no matching route")
 		return false
 	}
-	c.workspace = c.catalog.WorkspaceByKey(c.request.Key)
+	c.workspace = c.catalog.WorkspaceByKey(c.request.APIKey)
 	c.tier = c.catalog.Tier(c.route, c.workspace)
 	if c.workspace == nil && !c.route.Public && c.catalog.HasWorkspaces() {
 		c.refuse(http.StatusUnauthorized, 0, "unknown API key")
@@ -86,7 +86,7 @@
 func (c *call) computeFingerprint() uint64 {
 	var hash xxhash.Digest
 	hash.Reset()
-	for _, part := range []string{c.request.Method, "\n", c.request.Host, "\n", c.request.Target, "\n", c.request.Key, "\n"} {
+	for _, part := range []string{c.request.Method, "\n", c.request.Host, "\n", c.request.Target, "\n", c.request.APIKey, "\n"} {
 		_, _ = hash.WriteString(part) // Digest.WriteString never fails.
 	}
 	_, _ = hash.Write(c.request.Body)
@@ -100,7 +100,7 @@
 	cost := 1.0
 	if c.workspace.QuotaCountsTokens {
 		cost = c.workspace.DefaultTokens
-		if c.request.Counted {
+		if c.request.TokensStated {
 			cost = float64(c.request.PromptTokens + c.request.OutputTokens)
 		}
 	}
--- a/internal/edge/flow/ending.go
+++ b/internal/edge/flow/ending.go
@@ -57,7 +57,7 @@
 	if !c.Now().Before(c.deadline) {
 		status = http.StatusGatewayTimeout
 	}
-	c.Translator.Refuse(c.request, 0, c.w.Header())
+	c.Headers.Refuse(c.request, 0, c.w.Header())
 	c.w.WriteHeader(status)
 	c.finish("gave up", append(c.lastAttempt(), "status", status, "why", reason)...)
 }
@@ -65,7 +65,7 @@
 // refuse answers a request that was not executed and will not be.
 func (c *call) refuse(status int, retryAfter time.Duration, reason string) {
 	c.refundCost()
-	c.Translator.Refuse(c.request, retryAfter, c.w.Header())
+	c.Headers.Refuse(c.request, retryAfter, c.w.Header())
 	c.w.WriteHeader(status)
 	c.finish("refused", "status", status, "why", reason, "retry-after", retryAfter)
 }
@@ -85,7 +85,7 @@
 	if c.route != nil {
 		route = c.route.Name
 	}
-	c.Metrics.Finished(route, c.tier, outcome, took)
+	c.Metrics.RequestFinished(route, c.tier, outcome, took)
 	args := []any{"outcome", outcome, "route", route, "tier", c.tier, "took", took, "sends", c.attempts}
 	if len(c.triedUpstreams) > 0 {
 		args = append(args, "tried", slices.Clone(c.triedUpstreams))
@@ -111,7 +111,7 @@
 // disconnectOutcome returns the outcome of a request whose connection ended: a
 // process closes all connections that are still open when it exits.
 func (c *call) disconnectOutcome() string {
-	if _, exitAt, leaving := c.Leaving(); leaving && !c.Now().Before(exitAt) {
+	if _, exitAt, leaving := c.ShutdownStatus(); leaving && !c.Now().Before(exitAt) {
 		return outcomeCutByShutdown
 	}
 	if c.conn != nil && c.conn.ClosedInFlight() {
--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -39,10 +39,10 @@
 	defaultTimeout = time.Minute
 )
 
-// Parts holds the dependencies of a Flow.
-type Parts struct {
-	Translator Translator
-	Client     *exchange.Client
+// Dependencies holds the dependencies of a Flow.
+type Dependencies struct {
+	Headers HeaderCodec
+	Client  *exchange.Client
 	// Catalog returns the active configuration, or nil before the first is loaded.
 	Catalog func() *catalog.Catalog
 	Picker  Picker
@@ -52,34 +52,34 @@
 	Metrics Metrics
 	Logger  *slog.Logger
 	Now     func() time.Time
-	// Leaving reports whether the process is shutting down, since when, and when
+	// ShutdownStatus reports whether the process is shutting down, since when, and when
 	// it will exit.
-	Leaving func() (since, until time.Time, leaving bool)
-	// Elsewhere reports whether another process accepts the requests that this
+	ShutdownStatus func() (since, until time.Time, leaving bool)
+	// OthersAccept reports whether another process accepts the requests that this
 	// one refuses; if nil, none does.
-	Elsewhere func() bool
+	OthersAccept func() bool
 }
 
 // Metrics records counts and latencies.
 type Metrics interface {
-	// Finished counts a request by its outcome for the caller.
-	Finished(route string, tier int, outcome string, took time.Duration)
-	// Sent counts an attempt by its outcome.
-	Sent(service string, o Outcome)
-	// FirstEvent records the time to the first event of a stream.
-	FirstEvent(tier int, took time.Duration)
+	// RequestFinished counts a request by its outcome for the caller.
+	RequestFinished(route string, tier int, outcome string, took time.Duration)
+	// AttemptFinished counts an attempt by its outcome.
+	AttemptFinished(service string, o Outcome)
+	// FirstEventSent records the time to the first event of a stream.
+	FirstEventSent(tier int, took time.Duration)
 }
 
-// Flow serves callers' requests. It implements http.Handler and is safe for
+// Handler serves callers' requests. It implements http.Handler and is safe for
 // concurrent use.
-type Flow struct{ Parts }
+type Handler struct{ Dependencies }
 
 // New returns a Flow with the given dependencies.
-func New(parts Parts) *Flow { return &Flow{Parts: parts} }
+func New(parts Dependencies) *Handler { return &Handler{Dependencies: parts} }
 
 // call is the state of one caller's request.
 type call struct {
-	*Flow
+	*Handler
 	w http.ResponseWriter
 	// conn is the caller's connection, which may be nil.
 	conn        *ingress.Conn
@@ -117,11 +117,11 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Flow) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := f.Now()
-	c := &call{Flow: f, w: w, request: f.Translator.Read(r), arrivedAt: now, conn: ingress.ConnOf(r.Context())}
+	c := &call{Handler: f, w: w, request: f.Headers.Read(r), arrivedAt: now, conn: ingress.ConnOf(r.Context())}
 	c.logger = f.Logger.With("id", c.request.ID)
-	since, exitAt, leaving := f.Leaving()
+	since, exitAt, leaving := f.ShutdownStatus()
 	if leaving {
 		w.Header().Set("Connection", "close")
 		c.shutdown = shutdownWindow{startedAt: since, exitAt: exitAt}
@@ -133,8 +133,8 @@
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	if c.request.Deadline > 0 {
-		timeout = min(timeout, c.request.Deadline)
+	if c.request.Timeout > 0 {
+		timeout = min(timeout, c.request.Timeout)
 	}
 	c.deadline = now.Add(timeout)
 	if !c.fitsBeforeExit() {
@@ -177,12 +177,12 @@
 		}
 		outcome := c.attempt(ctx, place)
 		place.Done(c.Now(), outcome, c.streamedTokens())
-		c.Metrics.Sent(service, outcome)
+		c.Metrics.AttemptFinished(service, outcome)
 		if c.concluded(ctx, outcome) {
 			return
 		}
 		c.triedUpstreams = append(c.triedUpstreams, place.Upstream().ID)
-		if outcome != Unreached && !c.Retries.Take(c.Now(), service) {
+		if outcome != Unreachable && !c.Retries.Take(c.Now(), service) {
 			c.giveUp("retry budget exhausted")
 			return
 		}
@@ -232,19 +232,19 @@
 	return due
 }
 
-func (c *call) placementRequest(now time.Time, service string) Ask {
-	req := Ask{
+func (c *call) placementRequest(now time.Time, service string) PlacementRequest {
+	req := PlacementRequest{
 		ID: c.request.ID, Service: service, Route: c.route, Tier: c.tier,
-		Due: c.nextEventDue(now), Until: c.deadline, Exclude: c.triedUpstreams, Again: c.attempts > 0,
+		NextEventDue: c.nextEventDue(now), Deadline: c.deadline, ExcludedUpstreams: c.triedUpstreams, Resent: c.attempts > 0,
 		Fingerprint: c.fingerprint,
 	}
 	if c.workspace != nil {
 		req.Workspace = c.workspace.Name
 	}
-	if c.request.Counted {
-		req.Prompt, req.Output, req.Parts = c.request.PromptTokens, c.request.OutputTokens, c.request.Parts
+	if c.request.TokensStated {
+		req.PromptTokens, req.OutputTokens, req.PromptParts = c.request.PromptTokens, c.request.OutputTokens, c.request.PromptParts
 		if c.request.LengthHint > 0 {
-			req.Output = min(req.Output, c.request.LengthHint)
+			req.OutputTokens = min(req.OutputTokens, c.request.LengthHint)
 		}
 	}
 	c.limitToExit(&req)
@@ -263,8 +263,8 @@
 		workspace = c.workspace.Name
 	}
 	resumeAfter := c.progress.lastEventID
-	header := c.Translator.Upstream(c.request, Send{
-		UpstreamID: upstream.ID, Workspace: workspace, Left: c.deadline.Sub(now), ResumeAfter: resumeAfter,
+	header := c.Headers.Upstream(c.request, Attempt{
+		UpstreamID: upstream.ID, Workspace: workspace, TimeLeft: c.deadline.Sub(now), LastEventID: resumeAfter,
 	})
 	answer, err := c.Client.Do(ctx, upstream.Address, exchange.Request{
 		Method: c.request.Method, Target: c.request.Target, Host: c.request.Host, Header: header,
@@ -286,7 +286,7 @@
 	if !answer.Sealed {
 		c.logger.Warn("answer without a response seal", "upstream", upstream.ID, "status", answer.Status)
 		answer.Close(false)
-		return Broken
+		return Interrupted
 	}
 	return c.deliver(ctx, place, answer)
 }
@@ -300,7 +300,7 @@
 		c.unreachable++
 		c.Crashes.Down(c.Now(), upstream.ID)
 		c.logger.Info("could not connect to upstream", "upstream", upstream.ID, "err", err)
-		return Unreached
+		return Unreachable
 	}
 	c.attempts++
 	c.mayHaveExecuted = true
@@ -309,7 +309,7 @@
 	}
 	c.Crashes.Broke(c.Now(), upstream.ID, c.fingerprint)
 	c.logger.Warn("answer lost", "upstream", upstream.ID, "err", err)
-	return Broken
+	return Interrupted
 }
 
 // deliver passes the answer to the caller. A failure is held back while another
@@ -326,7 +326,7 @@
 			return Left
 		}
 		c.logger.Warn("answer truncated", "upstream", place.Upstream().ID, "err", err)
-		return Broken
+		return Interrupted
 	}
 	answer.Close(true)
 	place.Started(c.Now())
@@ -357,7 +357,7 @@
 const maxBufferedAnswerBytes = 16 << 20
 
 func (c *call) writePlain(answer *exchange.Answer, body []byte) {
-	c.Translator.Caller(answer.Header, c.w.Header())
+	c.Headers.Caller(answer.Header, c.w.Header())
 	c.w.WriteHeader(answer.Status)
 	if _, err := c.w.Write(body); err != nil {
 		c.logger.Info("caller disconnected while the answer was written", "err", err)
@@ -382,7 +382,7 @@
 		return true
 	}
 	switch o {
-	case Unreached:
+	case Unreachable:
 		if c.unreachable >= maxUnreachable {
 			c.giveUp("no upstream reachable")
 			return true
@@ -394,7 +394,7 @@
 		}
 		c.giveUp("declined by upstreams")
 		return true
-	case Failed, Broken:
+	case Failed, Interrupted:
 		if c.mayRetry() {
 			return false
 		}
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -38,7 +38,7 @@
 
 	mu                sync.Mutex
 	executed          []string
-	placementRequests []flow.Ask
+	placementRequests []flow.PlacementRequest
 	outcomes          []flow.Outcome
 	refunded          float64
 	shutdownSince     time.Time
@@ -76,8 +76,8 @@
 func (f *fixture) start() {
 	var dialer net.Dialer
 	pool := exchange.NewPool(dialer.DialContext)
-	handler := flow.New(flow.Parts{
-		Translator: platform.Headers{}, Client: exchange.NewClient(pool, platform.AnswerHeaders(), time.Now),
+	handler := flow.New(flow.Dependencies{
+		Headers: platform.Headers{}, Client: exchange.NewClient(pool, platform.AnswerHeaders(), time.Now),
 		Catalog: func() *catalog.Catalog {
 			if f.content.Version == 0 {
 				return nil
@@ -85,8 +85,8 @@
 			return catalog.New(f.content)
 		},
 		Picker: f, Quota: f, Retries: retries{f}, Crashes: f, Metrics: metrics{},
-		Logger: slog.New(slog.DiscardHandler), Now: time.Now, Leaving: f.shutdown,
-		Elsewhere: func() bool { return f.otherAccepts },
+		Logger: slog.New(slog.DiscardHandler), Now: time.Now, ShutdownStatus: f.shutdown,
+		OthersAccept: func() bool { return f.otherAccepts },
 	})
 	f.server = httptest.NewServer(handler)
 	f.t.Cleanup(f.server.Close)
@@ -154,12 +154,12 @@
 }
 
 // Pick implements flow.Picker. It returns the upstreams in their order.
-func (f *fixture) Pick(_ context.Context, _ time.Time, a flow.Ask) (flow.Place, error) {
+func (f *fixture) Pick(_ context.Context, _ time.Time, a flow.PlacementRequest) (flow.Place, error) {
 	f.placementRequests = append(f.placementRequests, a)
-	if len(a.Exclude) >= len(f.upstreams) {
+	if len(a.ExcludedUpstreams) >= len(f.upstreams) {
 		return nil, flow.RefusePlace(1500*time.Millisecond, "none left")
 	}
-	return placement{fixture: f, upstream: f.upstreams[len(a.Exclude)]}, nil
+	return placement{fixture: f, upstream: f.upstreams[len(a.ExcludedUpstreams)]}, nil
 }
 
 func (f *fixture) Take(time.Time, *catalog.Workspace, float64) (bool, time.Duration) {
@@ -175,9 +175,9 @@
 
 type metrics struct{}
 
-func (metrics) Finished(string, int, string, time.Duration) {}
-func (metrics) FirstEvent(int, time.Duration)               {}
-func (metrics) Sent(string, flow.Outcome)                   {}
+func (metrics) RequestFinished(string, int, string, time.Duration) {}
+func (metrics) FirstEventSent(int, time.Duration)                  {}
+func (metrics) AttemptFinished(string, flow.Outcome)               {}
 
 func (f *fixture) Blocked(time.Time, uint64) bool  { return f.blocked }
 func (f *fixture) Broke(time.Time, string, uint64) {}
@@ -263,7 +263,7 @@
 	response, _, err := f.call("/pay/x")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, response.StatusCode)
-	require.Equal(t, []flow.Outcome{flow.Unreached, flow.Declined, flow.Answered}, f.outcomes)
+	require.Equal(t, []flow.Outcome{flow.Unreachable, flow.Declined, flow.Answered}, f.outcomes)
 }
 
 func TestNonIdempotentRequestThatWasNotExecutedIsRefusedWithRetryAfter(t *testing.T) {
@@ -322,8 +322,8 @@
 	_, _, err := f.call("/long/x")
 	require.NoError(t, err)
 	require.Len(t, f.placementRequests, 2)
-	require.True(t, f.placementRequests[1].Again)
-	require.GreaterOrEqual(t, f.placementRequests[1].Due.Sub(f.placementRequests[0].Due), time.Second)
+	require.True(t, f.placementRequests[1].Resent)
+	require.GreaterOrEqual(t, f.placementRequests[1].NextEventDue.Sub(f.placementRequests[0].NextEventDue), time.Second)
 }
 
 // A broken stream whose route does not allow resuming is aborted. It must not look
@@ -416,21 +416,21 @@
 	for _, c := range []struct {
 		since             time.Duration
 		tokenCounts, hint string
-		ending            flow.Ending
+		ending            flow.EndConstraint
 		planned           int
 	}{
-		{time.Second, "1000,100", "20", flow.EndLikely, 20},
-		{2500 * time.Millisecond, "1000,100", "20", flow.EndSure, 40},
-		{3 * time.Second, "1000,100", "20", flow.EndSure, 40},
-		{3 * time.Second, "1000,30", "20", flow.EndSure, 30},
+		{time.Second, "1000,100", "20", flow.EndPreferred, 20},
+		{2500 * time.Millisecond, "1000,100", "20", flow.EndRequired, 40},
+		{3 * time.Second, "1000,100", "20", flow.EndRequired, 40},
+		{3 * time.Second, "1000,30", "20", flow.EndRequired, 30},
 	} {
 		f.shutdownSince = time.Now().Add(-c.since)
 		f.headers = map[string]string{"X-Persimmonridge-Token-Counts": c.tokenCounts, "X-Persimmonridge-Length-Hint": c.hint}
 		_, _, err := f.call("/long/x")
 		require.NoError(t, err)
 		request := f.placementRequests[len(f.placementRequests)-1]
-		require.Equal(t, c.ending, request.Ending)
-		require.Equal(t, c.planned, request.Output)
+		require.Equal(t, c.ending, request.EndConstraint)
+		require.Equal(t, c.planned, request.OutputTokens)
 	}
 }
 
@@ -442,20 +442,20 @@
 	for _, c := range []struct {
 		since        time.Duration
 		otherAccepts bool
-		ending       flow.Ending
+		ending       flow.EndConstraint
 		planned      int
 	}{
-		{time.Second, true, flow.EndLikely, 20},
-		{3 * time.Second, true, flow.EndSure, 100},
-		{3 * time.Second, false, flow.EndSure, 40},
+		{time.Second, true, flow.EndPreferred, 20},
+		{3 * time.Second, true, flow.EndRequired, 100},
+		{3 * time.Second, false, flow.EndRequired, 40},
 	} {
 		f.shutdownSince, f.otherAccepts = time.Now().Add(-c.since), c.otherAccepts
 		f.headers = map[string]string{"X-Persimmonridge-Token-Counts": "1000,100", "X-Persimmonridge-Length-Hint": "20"}
 		_, _, err := f.call("/long/x")
 		require.NoError(t, err)
 		request := f.placementRequests[len(f.placementRequests)-1]
-		require.Equal(t, c.ending, request.Ending)
-		require.Equal(t, c.planned, request.Output)
+		require.Equal(t, c.ending, request.EndConstraint)
+		require.Equal(t, c.planned, request.OutputTokens)
 	}
 }
 
--- a/internal/edge/flow/request.go
+++ b/internal/edge/flow/request.go
@@ -41,8 +41,8 @@
 	return 0
 }
 
-// Part is one part of a prompt, which several requests may have in common.
-type Part struct {
+// PromptPart is one part of a prompt, which several requests may have in common.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -57,76 +57,76 @@
 	Target string
 	// Header is the header to forward to an upstream.
 	Header http.Header
-	Key    string
-	// Deadline is how long the caller waits, 0 if it is not stated.
-	Deadline time.Duration
-	// Counted reports that the request states the tokens of its prompt and the
+	APIKey string
+	// Timeout is how long the caller waits, 0 if it is not stated.
+	Timeout time.Duration
+	// TokensStated reports that the request states the tokens of its prompt and the
 	// maximum to generate, which are PromptTokens and OutputTokens.
-	Counted      bool
+	TokensStated bool
 	PromptTokens int
 	OutputTokens int
-	Parts        []Part
+	PromptParts  []PromptPart
 	// LengthHint is the caller's estimate of the generated tokens, 0 if none.
 	LengthHint int
-	// ResumeAfter is the ID of the last stream event that the caller received.
-	ResumeAfter string
+	// LastEventID is the ID of the last stream event that the caller received.
+	LastEventID string
 	Body        []byte
 }
 
-// Send holds the header values that differ between the attempts of a request.
-type Send struct {
+// Attempt holds the header values that differ between the attempts of a request.
+type Attempt struct {
 	UpstreamID string
 	Workspace  string
-	// Left is the time until the request's deadline.
-	Left        time.Duration
-	ResumeAfter string
+	// TimeLeft is the time until the request's deadline.
+	TimeLeft    time.Duration
+	LastEventID string
 }
 
-// Translator maps between HTTP headers and requests.
-type Translator interface {
+// HeaderCodec maps between HTTP headers and requests.
+type HeaderCodec interface {
 	// Read decodes a caller's request line and header.
 	Read(r *http.Request) Request
 	// Upstream returns the header of an attempt.
-	Upstream(r Request, s Send) http.Header
+	Upstream(r Request, s Attempt) http.Header
 	// Caller copies the header of an upstream's answer into that for the caller.
 	Caller(answer, to http.Header)
 	// Refuse sets the header of an answer that this process gives itself.
 	Refuse(r Request, retryAfter time.Duration, to http.Header)
 }
 
-// Ask describes a request that needs a place on an upstream.
-type Ask struct {
+// PlacementRequest describes a request that needs a place on an upstream.
+type PlacementRequest struct {
 	ID        string
 	Service   string
 	Route     *catalog.Route
 	Workspace string
 	Tier      int
-	// Due is when the first event, or the first after a resume, becomes late.
-	Due time.Time
-	// Until is the deadline, after which the answer is of no use.
-	Until time.Time
-	// Prompt and Output are the tokens of a generation's prompt and answer, and
+	// NextEventDue is when the first event, or the first after a resume, becomes late.
+	NextEventDue time.Time
+	// Deadline is the deadline, after which the answer is of no use.
+	Deadline time.Time
+	// PromptTokens and Output are the tokens of a generation's prompt and answer, and
 	// Parts those parts of the prompt that other requests may share. They are zero
 	// for other requests.
-	Prompt int
-	Output int
-	Parts  []Part
-	// Ending states whether Until is the exit of this process.
-	Ending Ending
-	// Exclude lists the IDs of upstreams that were already tried.
-	Exclude []string
+	PromptTokens int
+	OutputTokens int
+	PromptParts  []PromptPart
+	// EndConstraint states whether Until is the exit of this process.
+	EndConstraint EndConstraint
+	// ExcludedUpstreams lists the IDs of upstreams that were already tried.
+	ExcludedUpstreams []string
 	// Fingerprint is equal for repeats of a request by the same caller.
 	Fingerprint uint64
-	// Only and Not are the required and the excluded version of the upstream; if
+	// RequiredVersion and ExcludedVersion are the required and the excluded version of the upstream; if
 	// empty, there is none.
-	Only, Not string
-	// Again reports that the request was sent to an upstream before.
-	Again bool
+	RequiredVersion, ExcludedVersion string
+	// Resent reports that the request was sent to an upstream before.
+	Resent bool
 }
 
-// Allows reports whether an upstream of the version may serve the request.
-func (a *Ask) Allows(version string) bool {
-	return (a.Only == "" || a.Only == version) && (a.Not == "" || a.Not != version)
+// AllowsVersion reports whether an upstream of the version may serve the request.
+func (a *PlacementRequest) AllowsVersion(version string) bool {
+	return (a.RequiredVersion == "" || a.RequiredVersion == version) && (a.ExcludedVersion == "" || a.ExcludedVersion != version)
 }
 
 // Outcome is the result of an attempt.
@@ -140,10 +140,10 @@
 	Failed
 	// Declined: the upstream answered that it did not execute the request.
 	Declined
-	// Unreached: nothing could be sent.
-	Unreached
-	// Broken: the request was sent, and no complete answer arrived.
-	Broken
+	// Unreachable: nothing could be sent.
+	Unreachable
+	// Interrupted: the request was sent, and no complete answer arrived.
+	Interrupted
 	// Left: the caller disconnected or the deadline passed.
 	Left
 )
@@ -168,7 +168,7 @@
 // Picker chooses an upstream. It may wait for a free place, and returns a NoPlace
 // error if waiting is not worthwhile.
 type Picker interface {
-	Pick(ctx context.Context, now time.Time, a Ask) (Place, error)
+	Pick(ctx context.Context, now time.Time, a PlacementRequest) (Place, error)
 }
 
 // Quota limits the cost of a workspace's requests.
--- a/internal/edge/flow/shutdown.go
+++ b/internal/edge/flow/shutdown.go
@@ -21,17 +21,17 @@
 	shutdownRetryAfter = 10 * time.Millisecond
 )
 
-// Ending states how a stream's end relates to the exit of the process.
-type Ending int
+// EndConstraint states how a stream's end relates to the exit of the process.
+type EndConstraint int
 
 // Relations of a stream's end to the exit of the process.
 const (
-	// EndOpen: the exit of the process does not limit the request.
-	EndOpen Ending = iota
-	// EndLikely: the stream should end before the process exits.
-	EndLikely
-	// EndSure: the stream must end before the process exits.
-	EndSure
+	// EndUnconstrained: the exit of the process does not limit the request.
+	EndUnconstrained EndConstraint = iota
+	// EndPreferred: the stream should end before the process exits.
+	EndPreferred
+	// EndRequired: the stream must end before the process exits.
+	EndRequired
 )
 
 // shutdownWindow holds when a shutdown began and when the process exits; both are zero
@@ -61,25 +61,25 @@
 // lengthKnown reports whether the request is a generation with a known maximum
 // length, so that its end can be planned.
 func (c *call) lengthKnown() bool {
-	return c.route.Kind == catalog.Streaming && c.request.Counted && c.request.OutputTokens > 0
+	return c.route.Kind == catalog.Streaming && c.request.TokensStated && c.request.OutputTokens > 0
 }
 
 // limitToExit restricts the placement if the process exits before the request's
 // deadline.
-func (c *call) limitToExit(req *Ask) {
-	if !c.shutdown.started() || !c.lengthKnown() || !c.shutdown.exitAt.Before(req.Until) {
+func (c *call) limitToExit(req *PlacementRequest) {
+	if !c.shutdown.started() || !c.lengthKnown() || !c.shutdown.exitAt.Before(req.Deadline) {
 		return
 	}
-	req.Until = c.shutdown.exitAt
+	req.Deadline = c.shutdown.exitAt
 	if c.shutdown.unnoticed(c.arrivedAt) {
-		req.Ending = EndLikely
+		req.EndConstraint = EndPreferred
 		return
 	}
-	req.Ending = EndSure
-	if c.Elsewhere != nil && c.Elsewhere() {
+	req.EndConstraint = EndRequired
+	if c.OthersAccept != nil && c.OthersAccept() {
 		// An estimate is not an upper bound, whatever margin is added.
-		req.Output = c.request.OutputTokens
+		req.OutputTokens = c.request.OutputTokens
 		return
 	}
-	req.Output = min(c.request.OutputTokens, lateLengthFactor*req.Output)
+	req.OutputTokens = min(c.request.OutputTokens, lateLengthFactor*req.OutputTokens)
 }
--- a/internal/edge/flow/stream.go
+++ b/internal/edge/flow/stream.go
@@ -132,9 +132,9 @@
 		return
 	}
 	c.progress.opened = true
-	c.Translator.Caller(answer.Header, c.w.Header())
+	c.Headers.Caller(answer.Header, c.w.Header())
 	c.w.WriteHeader(answer.Status)
-	c.Metrics.FirstEvent(c.tier, c.Now().Sub(c.arrivedAt))
+	c.Metrics.FirstEventSent(c.tier, c.Now().Sub(c.arrivedAt))
 }
 
 func (c *call) passEvent(answer *exchange.Answer, e event) error {
@@ -165,5 +165,5 @@
 	}
 	c.Crashes.Broke(c.Now(), place.Upstream().ID, c.fingerprint)
 	c.logger.Warn("stream broke off", "upstream", place.Upstream().ID, "after", c.progress.lastEventID, "err", err)
-	return Broken
+	return Interrupted
 }
--- a/internal/observe/logs/logs.go
+++ b/internal/observe/logs/logs.go
@@ -148,6 +148,6 @@
 	return &Handler{sink: h.sink, text: h.text.WithGroup(name)}
 }
 
-// LeftOut returns how many lines were above the rate limits, and for how many the
+// Omitted returns how many lines were above the rate limits, and for how many the
 // queue was full, since the process started.
-func (s *sink) LeftOut() (sampled, dropped int64) { return s.sampled.Load(), s.dropped.Load() }
+func (s *sink) Omitted() (sampled, dropped int64) { return s.sampled.Load(), s.dropped.Load() }
--- a/internal/observe/logs/logs_test.go
+++ b/internal/observe/logs/logs_test.go
@@ -37,7 +37,7 @@
 		logger.Warn("request", "outcome", "broken")
 		now = now.Add(2 * time.Millisecond)
 	}
-	_, dropped := handler.LeftOut()
+	_, dropped := handler.Omitted()
 	require.Positive(t, dropped)
 	close(output.release)
 	require.NoError(t, handler.Close(context.Background()))
@@ -73,7 +73,7 @@
 	require.NoError(t, handler.Close(context.Background()))
 	require.Equal(t, 100, strings.Count(output.String(), "answered"))
 	require.Equal(t, 90, strings.Count(output.String(), "refused"))
-	sampled, dropped := handler.LeftOut()
+	sampled, dropped := handler.Omitted()
 	require.EqualValues(t, 800, sampled)
 	require.Zero(t, dropped)
 }
--- a/internal/observe/meter/meter.go
+++ b/internal/observe/meter/meter.go
@@ -10,18 +10,18 @@
 	"github.com/persimmonridge/persimmonridge/internal/state/kv"
 )
 
-// Count counts one call by its kind and result, which both have few values.
-type Count func(call, result string)
+// CountFunc counts one call by its kind and result, which both have few values.
+type CountFunc func(call, result string)
 
 // Store is a kv.Store whose calls are counted.
 type Store struct {
 	store kv.Store
-	count Count
+	count CountFunc
 }
 
 // New returns the store with its calls counted. Failed calls count too, as every call
 // is billed.
-func New(store kv.Store, count Count) *Store { return &Store{store: store, count: count} }
+func New(store kv.Store, count CountFunc) *Store { return &Store{store: store, count: count} }
 
 // resultNames maps error types to the results in the counts.
 var resultNames = map[*errorx.Type]string{
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -100,7 +100,7 @@
 	Settings      Settings
 	Store         kv.Store
 	Decoder       Decoder
-	Translator    flow.Translator
+	Translator    flow.HeaderCodec
 	AnswerHeaders exchange.HeaderNames
 	Dialer        Dialer
 	// Listen opens a listener.
@@ -208,11 +208,11 @@
 	g.speedStore = &speedStore{Gateway: g}
 	g.follower = g.newFollower()
 	g.metrics.registerGauges(g)
-	requests := flow.New(flow.Parts{
-		Translator: parts.Translator, Client: exchange.NewClient(g.pool, parts.AnswerHeaders, now), Catalog: g.catalog.Load,
+	requests := flow.New(flow.Dependencies{
+		Headers: parts.Translator, Client: exchange.NewClient(g.pool, parts.AnswerHeaders, now), Catalog: g.catalog.Load,
 		Picker: g.versionPicker, Quota: g.quota, Retries: g.retryBudget, Crashes: g.crashRegister,
-		Metrics: g.metrics, Logger: logger, Now: now, Leaving: g.stopTimes,
-		Elsewhere: func() bool { return g.peers.otherAcceptsRequests(now()) },
+		Metrics: g.metrics, Logger: logger, Now: now, ShutdownStatus: g.stopTimes,
+		OthersAccept: func() bool { return g.peers.otherAcceptsRequests(now()) },
 	})
 	g.ingress = ingress.New(ingress.Dependencies{
 		Handler: requests, Catalog: g.catalog.Load, Metrics: g.metrics, Logger: logger, Now: now,
--- a/internal/role/gateway/metrics.go
+++ b/internal/role/gateway/metrics.go
@@ -117,15 +117,15 @@
 	}
 }
 
-// Finished implements flow.Metrics.
-func (m *metrics) Finished(_ string, tier int, outcome string, took time.Duration) {
+// RequestFinished implements flow.Metrics.
+func (m *metrics) RequestFinished(_ string, tier int, outcome string, took time.Duration) {
 	label := strconv.Itoa(tier)
 	m.requests.WithLabelValues(label, outcome).Inc()
 	m.latency.WithLabelValues(label).Observe(took.Seconds())
 }
 
-// Sent implements flow.Metrics.
-func (m *metrics) Sent(service string, outcome flow.Outcome) {
+// AttemptFinished implements flow.Metrics.
+func (m *metrics) AttemptFinished(service string, outcome flow.Outcome) {
 	m.sends.WithLabelValues(service, outcome.String()).Inc()
 }
 
@@ -143,7 +143,7 @@
 	m.connectionsClosed.WithLabelValues(string(reason)).Inc()
 }
 
-// FirstEvent implements flow.Metrics.
-func (m *metrics) FirstEvent(tier int, took time.Duration) {
+// FirstEventSent implements flow.Metrics.
+func (m *metrics) FirstEventSent(tier int, took time.Duration) {
 	m.firstEvent.WithLabelValues(strconv.Itoa(tier)).Observe(took.Seconds())
 }
--- a/internal/sched/local/absent_test.go
+++ b/internal/sched/local/absent_test.go
@@ -44,7 +44,7 @@
 					now := time.Now()
 					ctx, cancel := context.WithTimeout(t.Context(), c.deadline)
 					defer cancel()
-					return chooser.Pick(ctx, now, flow.Ask{ID: "one", Service: "bookings", Until: now.Add(c.deadline)})
+					return chooser.Pick(ctx, now, flow.PlacementRequest{ID: "one", Service: "bookings", Deadline: now.Add(c.deadline)})
 				}
 				for time.Now().Before(goneAt) {
 					place, err := pick()
--- a/internal/sched/local/local.go
+++ b/internal/sched/local/local.go
@@ -90,7 +90,7 @@
 
 // Pick implements flow.Picker. It waits only if all upstreams of the service have just
 // disappeared.
-func (c *Chooser) Pick(ctx context.Context, now time.Time, req flow.Ask) (flow.Place, error) {
+func (c *Chooser) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Place, error) {
 	upstreams := c.readyUpstreams(req.Service)
 	for ; len(upstreams) == 0 && ctx.Err() == nil && now.Before(c.waitDeadline(req)); now = now.Add(absencePollInterval) {
 		wait.For(ctx, absencePollInterval)
@@ -118,12 +118,12 @@
 
 // waitDeadline returns until when a request waits for an upstream of a service that has
 // none.
-func (c *Chooser) waitDeadline(req flow.Ask) time.Time {
+func (c *Chooser) waitDeadline(req flow.PlacementRequest) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	deadline := c.lastPresent[req.Service].Add(maxAbsenceWait)
-	if req.Until.Before(deadline) {
-		return req.Until
+	if req.Deadline.Before(deadline) {
+		return req.Deadline
 	}
 	return deadline
 }
@@ -155,7 +155,7 @@
 // cheapest returns the upstream with the lowest cost. Upstreams that are skipped because of
 // failures are considered only if includeSkipped is set. The order changes with each call, so
 // that equal upstreams take turns.
-func (c *Chooser) cheapest(now time.Time, upstreams []roster.Upstream, req flow.Ask, includeSkipped bool) (roster.Upstream, bool) {
+func (c *Chooser) cheapest(now time.Time, upstreams []roster.Upstream, req flow.PlacementRequest, includeSkipped bool) (roster.Upstream, bool) {
 	c.rotation++
 	rates := make([]float64, 0, len(upstreams))
 	for _, u := range upstreams {
@@ -168,7 +168,7 @@
 	for i := range upstreams {
 		u := upstreams[(uint64(i)+c.rotation)%uint64(len(upstreams))]
 		state := c.state(u.ID)
-		if !req.Allows(u.Version) || slices.Contains(req.Exclude, u.ID) || (!includeSkipped && (now.Before(state.backoffUntil) || state.failureRate.At(now) > baseline+failureMargin)) {
+		if !req.AllowsVersion(u.Version) || slices.Contains(req.ExcludedUpstreams, u.ID) || (!includeSkipped && (now.Before(state.backoffUntil) || state.failureRate.At(now) > baseline+failureMargin)) {
 			continue
 		}
 		cost := c.cost(now, state, u)
@@ -226,11 +226,11 @@
 	case flow.Failed:
 		state.failuresInRow = 0
 		state.failureRate.Failed(now)
-	case flow.Broken:
+	case flow.Interrupted:
 		state.failureRate.Broken(now)
 	case flow.Declined:
 		state.failureRate.Failed(now)
-	case flow.Unreached:
+	case flow.Unreachable:
 		state.failuresInRow++
 		state.backoffUntil = now.Add(min(maxBackoff, minBackoff<<min(state.failuresInRow-1, 4)))
 	case flow.Left:
--- a/internal/sched/permit/ending_test.go
+++ b/internal/sched/permit/ending_test.go
@@ -30,16 +30,16 @@
 			Node: "gateway", Domain: "a", Scheduler: otherScheduler, Send: discardMessage, Local: fixedPicker{}, Upstream: noUpstream,
 			Service: engineService, Metrics: noMetrics{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 		})
-		pick := func(id string, e flow.Ending) error {
+		pick := func(id string, e flow.EndConstraint) error {
 			now := time.Now()
-			_, err := c.Pick(t.Context(), now, flow.Ask{
-				ID: id, Service: "s", Route: &catalog.Route{}, Prompt: 1292, Output: 8,
-				Due: now.Add(400 * time.Millisecond), Until: now.Add(1100 * time.Millisecond), Ending: e,
+			_, err := c.Pick(t.Context(), now, flow.PlacementRequest{
+				ID: id, Service: "s", Route: &catalog.Route{}, PromptTokens: 1292, OutputTokens: 8,
+				NextEventDue: now.Add(400 * time.Millisecond), Deadline: now.Add(1100 * time.Millisecond), EndConstraint: e,
 			})
 			return err
 		}
-		require.NoError(t, pick("open", flow.EndOpen))
-		require.NoError(t, pick("likely", flow.EndLikely))
-		require.Error(t, pick("sure", flow.EndSure))
+		require.NoError(t, pick("open", flow.EndUnconstrained))
+		require.NoError(t, pick("likely", flow.EndPreferred))
+		require.Error(t, pick("sure", flow.EndRequired))
 	})
 }
--- a/internal/sched/permit/moments_test.go
+++ b/internal/sched/permit/moments_test.go
@@ -89,9 +89,9 @@
 	})
 	for i := range 3 {
 		now := time.Now()
-		place, err := client.Pick(t.Context(), now, flow.Ask{
-			ID: fmt.Sprintf("request-%d", i), Service: "tutor", Route: &catalog.Route{}, Due: now.Add(600 * time.Millisecond),
-			Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		place, err := client.Pick(t.Context(), now, flow.PlacementRequest{
+			ID: fmt.Sprintf("request-%d", i), Service: "tutor", Route: &catalog.Route{}, NextEventDue: now.Add(600 * time.Millisecond),
+			Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.NoError(t, err)
 		client.TellHeld(time.Now())
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -119,7 +119,7 @@
 }
 
 // Pick implements flow.Picker.
-func (c *Client) Pick(ctx context.Context, now time.Time, req flow.Ask) (flow.Place, error) {
+func (c *Client) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Place, error) {
 	service := c.Service(req.Service)
 	if service == nil || service.Engine == nil {
 		return c.Local.Pick(ctx, now, req)
@@ -147,7 +147,7 @@
 		}
 		// The scheduler does not know yet that the upstream is gone or leaving.
 		c.notify(endedMessage(req.ID, d.number, board.End{Outcome: board.Unreached}))
-		req.Exclude = append(append([]string(nil), req.Exclude...), d.upstream)
+		req.ExcludedUpstreams = append(append([]string(nil), req.ExcludedUpstreams...), d.upstream)
 	}
 	return c.pickLocally(ctx, req)
 }
@@ -156,10 +156,10 @@
 // one, so that the scheduler learns of it. A stream that must end in time gets none: it
 // might wait in the queue of a full engine, and only the scheduler knows which engines are
 // full.
-func (c *Client) pickLocally(ctx context.Context, req flow.Ask) (flow.Place, error) {
+func (c *Client) pickLocally(ctx context.Context, req flow.PlacementRequest) (flow.Place, error) {
 	c.Logger.Debug("choosing without the scheduler", "id", req.ID)
 	now := c.Now()
-	if req.Ending == flow.EndSure {
+	if req.EndConstraint == flow.EndRequired {
 		return nil, flow.RefusePlace(0, "gateway stops before the stream could complete")
 	}
 	chosen, err := c.Local.Pick(ctx, now, req)
@@ -174,7 +174,7 @@
 }
 
 // requestSlot sends a slot request to a scheduler and waits for the decision.
-func (c *Client) requestSlot(ctx context.Context, scheduler string, req flow.Ask) (decision, bool) {
+func (c *Client) requestSlot(ctx context.Context, scheduler string, req flow.PlacementRequest) (decision, bool) {
 	p := &pendingRequest{scheduler: scheduler, decisions: make(chan decision, 2)}
 	c.mu.Lock()
 	c.lastNumber++
@@ -200,10 +200,10 @@
 }
 
 // await waits for the first reply, and then for the decision.
-func (c *Client) await(ctx context.Context, p *pendingRequest, req flow.Ask) (decision, bool) {
+func (c *Client) await(ctx context.Context, p *pendingRequest, req flow.PlacementRequest) (decision, bool) {
 	firstReply := time.NewTimer(firstReplyTimeout)
 	defer firstReply.Stop()
-	timeout := time.NewTimer(min(req.Until.Sub(c.Now()), decisionTimeout))
+	timeout := time.NewTimer(min(req.Deadline.Sub(c.Now()), decisionTimeout))
 	defer timeout.Stop()
 	for {
 		select {
@@ -224,14 +224,14 @@
 	}
 }
 
-func (c *Client) slotRequestMessage(number uint64, req flow.Ask) *wire.Envelope {
+func (c *Client) slotRequestMessage(number uint64, req flow.PlacementRequest) *wire.Envelope {
 	now := c.Now()
 	return &wire.Envelope{Body: &wire.Envelope_PlaceAsk{PlaceAsk: &wire.PlaceAsk{
 		Id: req.ID, Number: number, Service: req.Service, Tier: uint32(req.Tier), Domain: c.Domain,
-		DueMs: req.Due.Sub(now).Milliseconds(), UntilMs: req.Until.Sub(now).Milliseconds(),
-		Prompt: uint32(req.Prompt), Output: uint32(req.Output), MaxGapMs: uint32(req.Route.EventGapTarget.Milliseconds()),
-		Exclude: req.Exclude, Again: req.Again, Fingerprint: req.Fingerprint,
-		OnlyVersion: req.Only, NotVersion: req.Not, End: endingMessage(req.Ending),
+		DueMs: req.NextEventDue.Sub(now).Milliseconds(), UntilMs: req.Deadline.Sub(now).Milliseconds(),
+		Prompt: uint32(req.PromptTokens), Output: uint32(req.OutputTokens), MaxGapMs: uint32(req.Route.EventGapTarget.Milliseconds()),
+		Exclude: req.ExcludedUpstreams, Again: req.Resent, Fingerprint: req.Fingerprint,
+		OnlyVersion: req.RequiredVersion, NotVersion: req.ExcludedVersion, End: endingMessage(req.EndConstraint),
 	}}}
 }
 
@@ -318,7 +318,7 @@
 // TellEvery is the interval between reports of held slots.
 const TellEvery = time.Second
 
-func (c *Client) hold(local flow.Place, req flow.Ask, number uint64) flow.Place {
+func (c *Client) hold(local flow.Place, req flow.PlacementRequest, number uint64) flow.Place {
 	p := &place{client: c, local: local, upstream: local.Upstream(), request: req, number: number}
 	c.mu.Lock()
 	c.places[p] = struct{}{}
@@ -331,7 +331,7 @@
 	client   *Client
 	local    flow.Place
 	upstream roster.Upstream
-	request  flow.Ask
+	request  flow.PlacementRequest
 	number   uint64
 
 	mu        sync.Mutex
@@ -382,7 +382,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &wire.PlaceHeld{
-		Id: p.request.ID, Number: p.number, Upstream: p.upstream.ID, Prompt: uint32(p.request.Prompt), Output: uint32(p.request.Output),
+		Id: p.request.ID, Number: p.number, Upstream: p.upstream.ID, Prompt: uint32(p.request.PromptTokens), Output: uint32(p.request.OutputTokens),
 		Started: !p.startedAt.IsZero(),
 	}
 }
@@ -400,11 +400,11 @@
 		return board.Answered
 	case flow.Declined:
 		return board.Declined
-	case flow.Unreached:
+	case flow.Unreachable:
 		return board.Unreached
 	case flow.Left:
 		return board.Left
-	case flow.Broken:
+	case flow.Interrupted:
 		return board.Broken
 	case flow.Failed:
 	}
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -24,7 +24,7 @@
 // fixedPicker always picks the same engine.
 type fixedPicker struct{}
 
-func (fixedPicker) Pick(context.Context, time.Time, flow.Ask) (flow.Place, error) {
+func (fixedPicker) Pick(context.Context, time.Time, flow.PlacementRequest) (flow.Place, error) {
 	return fixedPlace{}, nil
 }
 func (fixedPicker) Hold(roster.Upstream) flow.Place { return fixedPlace{} }
@@ -72,9 +72,9 @@
 			Metrics: noMetrics{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 		})
 		now := time.Now()
-		place, err := client.Pick(t.Context(), now, flow.Ask{
-			ID: "one", Service: "tutor", Route: &catalog.Route{}, Due: now.Add(600 * time.Millisecond),
-			Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		place, err := client.Pick(t.Context(), now, flow.PlacementRequest{
+			ID: "one", Service: "tutor", Route: &catalog.Route{}, NextEventDue: now.Add(600 * time.Millisecond),
+			Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.NoError(t, err)
 		// The scheduler hears of the slot after the slot request was withdrawn.
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -52,13 +52,13 @@
 	return board.EndOpen
 }
 
-func endingMessage(e flow.Ending) wire.PlaceAsk_End {
+func endingMessage(e flow.EndConstraint) wire.PlaceAsk_End {
 	switch e {
-	case flow.EndLikely:
+	case flow.EndPreferred:
 		return wire.PlaceAsk_LIKELY
-	case flow.EndSure:
+	case flow.EndRequired:
 		return wire.PlaceAsk_SURE
-	case flow.EndOpen:
+	case flow.EndUnconstrained:
 	}
 	return wire.PlaceAsk_OPEN
 }
--- a/internal/version/rollout/picker.go
+++ b/internal/version/rollout/picker.go
@@ -57,22 +57,22 @@
 }
 
 // Pick implements flow.Picker.
-func (p *Picker) Pick(ctx context.Context, now time.Time, a flow.Ask) (flow.Place, error) {
+func (p *Picker) Pick(ctx context.Context, now time.Time, a flow.PlacementRequest) (flow.Place, error) {
 	state, moving := p.State(a.Service)
 	if !moving {
 		return p.next.Pick(ctx, now, a)
 	}
 	toTarget := state.Phase == Complete || (state.Phase == Running && state.Chosen(a.Service, a.ID))
 	if toTarget {
-		a.Only = state.Target
+		a.RequiredVersion = state.Target
 	} else {
-		a.Not = state.Target
+		a.ExcludedVersion = state.Target
 	}
 	place, err := p.next.Pick(ctx, now, a)
 	if err != nil && state.Phase == Running && toTarget {
 		// The target has no free slot or no upstream; the request must not fail
 		// because of the move, so it goes to the other versions.
-		a.Only, a.Not = "", state.Target
+		a.RequiredVersion, a.ExcludedVersion = "", state.Target
 		place, err = p.next.Pick(ctx, now, a)
 	}
 	if err != nil || state.Phase != Running {
