--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -47,8 +47,8 @@
 	Catalog func() *catalog.Catalog
 	Picker  Picker
 	Quota   Quota
-	Retries Retries
-	Crashes Crashes
+	Retries RetryBudget
+	Crashes CrashTracker
 	Metrics Metrics
 	Logger  *slog.Logger
 	Now     func() time.Time
@@ -176,7 +176,7 @@
 			c.Retries.Sent(now, service)
 		}
 		outcome := c.attempt(ctx, place)
-		place.Done(c.Now(), outcome, c.streamedTokens())
+		place.Release(c.Now(), outcome, c.streamedTokens())
 		c.Metrics.AttemptFinished(service, outcome)
 		if c.concluded(ctx, outcome) {
 			return
@@ -253,7 +253,7 @@
 
 // attempt makes one attempt. For any outcome other than Answered, the caller has not
 // been answered yet, unless part of a stream was delivered.
-func (c *call) attempt(ctx context.Context, place Place) Outcome {
+func (c *call) attempt(ctx context.Context, place Placement) Outcome {
 	now := c.Now()
 	c.sentAt, c.events, c.longestGap = now, 0, 0
 	upstream := place.Upstream()
@@ -275,7 +275,7 @@
 	}
 	c.attempts++
 	if answer.Load != nil {
-		place.Load(c.Now(), *answer.Load)
+		place.ReportLoad(c.Now(), *answer.Load)
 	}
 	if answer.NotExecuted {
 		c.logger.Info("upstream declined the request", "upstream", upstream.ID, "status", answer.Status)
@@ -291,11 +291,11 @@
 	return c.deliver(ctx, place, answer)
 }
 
-func (c *call) handleNoAnswer(ctx context.Context, place Place, err error) Outcome {
+func (c *call) handleNoAnswer(ctx context.Context, place Placement, err error) Outcome {
 	upstream := place.Upstream()
 	if errorx.IsOfType(err, exchange.NotSent) {
 		if ctx.Err() != nil {
-			return Left
+			return Canceled
 		}
 		c.unreachable++
 		c.Crashes.Down(c.Now(), upstream.ID)
@@ -305,7 +305,7 @@
 	c.attempts++
 	c.mayHaveExecuted = true
 	if ctx.Err() != nil {
-		return Left
+		return Canceled
 	}
 	c.Crashes.Broke(c.Now(), upstream.ID, c.fingerprint)
 	c.logger.Warn("answer lost", "upstream", upstream.ID, "err", err)
@@ -314,7 +314,7 @@
 
 // deliver passes the answer to the caller. A failure is held back while another
 // attempt is allowed.
-func (c *call) deliver(ctx context.Context, place Place, answer *exchange.Answer) Outcome {
+func (c *call) deliver(ctx context.Context, place Placement, answer *exchange.Answer) Outcome {
 	success := answer.Status >= 200 && answer.Status < 300
 	if success && c.route.Kind == catalog.Streaming {
 		return c.deliverStream(ctx, place, answer)
@@ -323,13 +323,13 @@
 	if err != nil {
 		answer.Close(false)
 		if ctx.Err() != nil {
-			return Left
+			return Canceled
 		}
 		c.logger.Warn("answer truncated", "upstream", place.Upstream().ID, "err", err)
 		return Interrupted
 	}
 	answer.Close(true)
-	place.Started(c.Now())
+	place.AnswerStarted(c.Now())
 	if c.progress.opened {
 		// The response header has already been sent, so a failed resume can only
 		// end in an aborted stream.
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -144,20 +144,20 @@
 	upstream roster.Upstream
 }
 
-func (p placement) Upstream() roster.Upstream     { return p.upstream }
-func (p placement) Load(time.Time, exchange.Load) {}
-func (p placement) Started(time.Time)             {}
-func (p placement) Done(_ time.Time, o flow.Outcome, _ int) {
+func (p placement) Upstream() roster.Upstream           { return p.upstream }
+func (p placement) ReportLoad(time.Time, exchange.Load) {}
+func (p placement) AnswerStarted(time.Time)             {}
+func (p placement) Release(_ time.Time, o flow.Outcome, _ int) {
 	p.fixture.mu.Lock()
 	defer p.fixture.mu.Unlock()
 	p.fixture.outcomes = append(p.fixture.outcomes, o)
 }
 
 // Pick implements flow.Picker. It returns the upstreams in their order.
-func (f *fixture) Pick(_ context.Context, _ time.Time, a flow.PlacementRequest) (flow.Place, error) {
+func (f *fixture) Pick(_ context.Context, _ time.Time, a flow.PlacementRequest) (flow.Placement, error) {
 	f.placementRequests = append(f.placementRequests, a)
 	if len(a.ExcludedUpstreams) >= len(f.upstreams) {
-		return nil, flow.RefusePlace(1500*time.Millisecond, "none left")
+		return nil, flow.RefusePlacement(1500*time.Millisecond, "none left")
 	}
 	return placement{fixture: f, upstream: f.upstreams[len(a.ExcludedUpstreams)]}, nil
 }
--- a/internal/edge/flow/request.go
+++ b/internal/edge/flow/request.go
@@ -18,15 +18,15 @@
 
 var namespace = errorx.NewNamespace("flow")
 
-// NoPlace is the error of a request that no upstream can accept now. It was not
+// NoPlacement is the error of a request that no upstream can accept now. It was not
 // sent.
-var NoPlace = namespace.NewType("no-place")
+var NoPlacement = namespace.NewType("no-place")
 
 var retryAfterProperty = errorx.RegisterProperty("retry-after")
 
-// RefusePlace returns a NoPlace error with the time after which to retry.
-func RefusePlace(retryAfter time.Duration, message string, args ...any) error {
-	return NoPlace.New(message, args...).WithProperty(retryAfterProperty, retryAfter)
+// RefusePlacement returns a NoPlace error with the time after which to retry.
+func RefusePlacement(retryAfter time.Duration, message string, args ...any) error {
+	return NoPlacement.New(message, args...).WithProperty(retryAfterProperty, retryAfter)
 }
 
 // RetryAfter returns the retry time of a NoPlace error, or 0 if it has none.
@@ -144,8 +144,8 @@
 	Unreachable
 	// Interrupted: the request was sent, and no complete answer arrived.
 	Interrupted
-	// Left: the caller disconnected or the deadline passed.
-	Left
+	// Canceled: the caller disconnected or the deadline passed.
+	Canceled
 )
 
 var outcomeNames = [...]string{"answered", "failed", "declined", "unreached", "broken", "left"}
@@ -153,22 +153,22 @@
 // String returns the outcome's name in logs and metrics.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Place is the permission to send the request once to an upstream.
-type Place interface {
+// Placement is the permission to send the request once to an upstream.
+type Placement interface {
 	Upstream() roster.Upstream
-	// Load records the load that the upstream reported.
-	Load(now time.Time, load exchange.Load)
-	// Started records that the first event or the answer arrived.
-	Started(now time.Time)
-	// Done returns the place. Tokens is the number of tokens streamed after the
+	// ReportLoad records the load that the upstream reported.
+	ReportLoad(now time.Time, load exchange.Load)
+	// AnswerStarted records that the first event or the answer arrived.
+	AnswerStarted(now time.Time)
+	// Release returns the place. Tokens is the number of tokens streamed after the
 	// first event.
-	Done(now time.Time, o Outcome, tokens int)
+	Release(now time.Time, o Outcome, tokens int)
 }
 
 // Picker chooses an upstream. It may wait for a free place, and returns a NoPlace
 // error if waiting is not worthwhile.
 type Picker interface {
-	Pick(ctx context.Context, now time.Time, a PlacementRequest) (Place, error)
+	Pick(ctx context.Context, now time.Time, a PlacementRequest) (Placement, error)
 }
 
 // Quota limits the cost of a workspace's requests.
@@ -182,16 +182,16 @@
 	Return(w *catalog.Workspace, cost float64)
 }
 
-// Retries limits how often requests are sent again.
-type Retries interface {
+// RetryBudget limits how often requests are sent again.
+type RetryBudget interface {
 	// Sent records the first attempt of a request to the service.
 	Sent(now time.Time, service string)
 	// Take reports whether a retry is allowed, and charges it to the budget.
 	Take(now time.Time, service string) bool
 }
 
-// Crashes detects requests that crash the upstreams which execute them.
-type Crashes interface {
+// CrashTracker detects requests that crash the upstreams which execute them.
+type CrashTracker interface {
 	// Blocked reports whether requests with the fingerprint are refused.
 	Blocked(now time.Time, fingerprint uint64) bool
 	// Broke records that an upstream broke off while it executed the request.
--- a/internal/edge/flow/stream.go
+++ b/internal/edge/flow/stream.go
@@ -81,7 +81,7 @@
 
 // deliverStream passes events on as they arrive. A stream that resumes one which
 // another upstream broke off continues the same answer.
-func (c *call) deliverStream(ctx context.Context, place Place, answer *exchange.Answer) Outcome {
+func (c *call) deliverStream(ctx context.Context, place Placement, answer *exchange.Answer) Outcome {
 	reader := newEventReader(answer)
 	var eventAt time.Time
 	for {
@@ -100,7 +100,7 @@
 		now := c.Now()
 		if c.events == 1 {
 			c.firstEvent = now.Sub(c.sentAt)
-			place.Started(now)
+			place.AnswerStarted(now)
 		} else {
 			c.longestGap = max(c.longestGap, now.Sub(eventAt))
 		}
@@ -112,7 +112,7 @@
 			answer.Close(false)
 			c.progress.answered = true
 			c.finishDisconnected(c.disconnectOutcome(), append(c.lastAttempt(), "err", err)...)
-			return Left
+			return Canceled
 		}
 	}
 }
@@ -159,9 +159,9 @@
 	c.progress.answered = true
 }
 
-func (c *call) handleBrokenStream(ctx context.Context, place Place, err error) Outcome {
+func (c *call) handleBrokenStream(ctx context.Context, place Placement, err error) Outcome {
 	if ctx.Err() != nil {
-		return Left
+		return Canceled
 	}
 	c.Crashes.Broke(c.Now(), place.Upstream().ID, c.fingerprint)
 	c.logger.Warn("stream broke off", "upstream", place.Upstream().ID, "after", c.progress.lastEventID, "err", err)
--- a/internal/limit/retry/retry.go
+++ b/internal/limit/retry/retry.go
@@ -27,7 +27,7 @@
 // Settings is the limit for the whole fleet: in any Window, the retries to a service
 // must not exceed Share times its requests plus Slack.
 type Settings struct {
-	Share  float64
+	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
@@ -94,7 +94,7 @@
 
 // maxSaved returns the retries that a process may have saved.
 func (b *Budget) maxSaved(s *serviceBudget) float64 {
-	return b.slackShare() + savedFraction*b.settings.Share*s.requests.count()
+	return b.slackShare() + savedFraction*b.settings.Ratio*s.requests.count()
 }
 
 // refilledBudget returns the service's budget, refilled from the slack. The refill of
@@ -120,7 +120,7 @@
 	defer b.mu.Unlock()
 	s := b.refilledBudget(now, service)
 	s.requests.current++
-	s.tokens = min(s.tokens+earnedFraction*b.settings.Share, b.maxSaved(s))
+	s.tokens = min(s.tokens+earnedFraction*b.settings.Ratio, b.maxSaved(s))
 }
 
 // Take reports whether a retry is allowed, and charges it.
--- a/internal/limit/retry/retry_test.go
+++ b/internal/limit/retry/retry_test.go
@@ -13,7 +13,7 @@
 // gateways, the retries in any ten seconds must not exceed a fifth of the requests
 // plus the slack.
 func TestFleetStaysWithinTheLimitInEveryWindow(t *testing.T) {
-	settings := retry.Settings{Share: 0.2, Slack: 56, Window: 10 * time.Second}
+	settings := retry.Settings{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 	var gateways []*retry.Budget
 	for range 5 {
 		gateways = append(gateways, retry.New(settings, func() int { return 5 }))
@@ -36,7 +36,7 @@
 				count++
 			}
 		}
-		require.LessOrEqual(t, float64(count), settings.Share*perSecond*10+settings.Slack)
+		require.LessOrEqual(t, float64(count), settings.Ratio*perSecond*10+settings.Slack)
 	}
 	require.Greater(t, len(retries), 30*perSecond/10, "the fleet must use what it is allowed")
 }
@@ -45,7 +45,7 @@
 // Sixteen of 46 engines crashed, and each of 25 gateways lost about seven streams.
 // Three retries used up its savings, while the fleet had spent 1/50 of its limit.
 func TestStreamsOfEnginesThatCrashTogetherMayBeRetried(t *testing.T) {
-	settings := retry.Settings{Share: 0.2, Slack: 90, Window: 10 * time.Second}
+	settings := retry.Settings{Ratio: 0.2, Slack: 90, Window: 10 * time.Second}
 	b := retry.New(settings, func() int { return 25 })
 	start := time.Unix(1_000_000, 0)
 	const perSecond = 12
@@ -62,7 +62,7 @@
 // retries as they may. The fleet's limit must hold in every window of ten seconds,
 // wherever it begins.
 func TestSavedRetriesStayWithinTheLimit(t *testing.T) {
-	settings := retry.Settings{Share: 0.2, Slack: 90, Window: 10 * time.Second}
+	settings := retry.Settings{Ratio: 0.2, Slack: 90, Window: 10 * time.Second}
 	var gateways []*retry.Budget
 	for range 25 {
 		gateways = append(gateways, retry.New(settings, func() int { return 25 }))
@@ -83,13 +83,13 @@
 		for at.Sub(retries[first]) > settings.Window {
 			first++
 		}
-		require.LessOrEqual(t, float64(last-first+1), settings.Share*perSecond*10+settings.Slack)
+		require.LessOrEqual(t, float64(last-first+1), settings.Ratio*perSecond*10+settings.Slack)
 	}
 }
 
 // Retries that were earned by traffic must expire after it has ended.
 func TestSavedRetriesExpire(t *testing.T) {
-	b := retry.New(retry.Settings{Share: 0.2, Slack: 0, Window: 10 * time.Second}, func() int { return 1 })
+	b := retry.New(retry.Settings{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}, func() int { return 1 })
 	start := time.Unix(1_000_000, 0)
 	for i := range 100 {
 		b.Sent(start.Add(time.Duration(i)*10*time.Millisecond), "s")
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -141,7 +141,7 @@
 		Name: "gateway-" + strconv.Itoa(i), Domain: "a", CallerAddress: callerAddress(i), LinkAddress: linkAddress(i),
 		ReadinessAddress: fmt.Sprintf("10.0.0.%d:82", i+1), MetricsAddress: fmt.Sprintf("10.0.0.%d:83", i+1),
 		GracePeriod: 8 * time.Second, ConfigApplyLimit: 2 * time.Second, Quota: quota.Options{StartFull: true},
-		Retry:     retry.Settings{Share: 0.2, Slack: 50, Window: 10 * time.Second},
+		Retry:     retry.Settings{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
 		ConfigKey: platform.ConfigPrefix, UpstreamPrefix: platform.UpstreamPrefix, OrderPrefix: platform.RolloutPrefix,
 	}
 	g := gateway.New(gateway.Dependencies{
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -199,8 +199,8 @@
 	g.granter = granter.New(now, g.peers.deliverVerdict, logger)
 	g.permits = permit.New(permit.Parts{
 		Node: s.Name, Domain: s.Domain, Scheduler: g.peers.scheduler, Send: g.mesh.Send,
-		Own:   func(now time.Time, e *wire.Envelope) { permit.Serve(now, g.granter, s.Name, e) },
-		Local: local.New(s.Domain, g.roster.Ready, g.peers.gatewayCount), Upstream: g.roster.Get,
+		DeliverLocally: func(now time.Time, e *wire.Envelope) { permit.Serve(now, g.granter, s.Name, e) },
+		Local:          local.New(s.Domain, g.roster.Ready, g.peers.gatewayCount), Upstream: g.roster.Get,
 		Service: g.service, Metrics: g.metrics, Logger: logger, Now: now,
 	})
 	g.versionPicker = rollout.NewPicker(g.permits)
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -190,7 +190,7 @@
 
 // FillGossip implements mesh.Handler.
 func (p *peers) FillGossip(now time.Time, g *wire.Gossip) {
-	p.granter.SetReach(p.mesh.Reach(now))
+	p.granter.SetReachableGateways(p.mesh.Reach(now))
 	p.mu.Lock()
 	g.Rank = p.rank
 	g.Crashes = p.gossipedCrashes
@@ -337,7 +337,7 @@
 }
 
 // deliverVerdict sends a scheduling decision to the gateway that requested the slot.
-func (p *peers) deliverVerdict(verdict board.Verdict) {
+func (p *peers) deliverVerdict(verdict board.Decision) {
 	message := permit.VerdictMessage(verdict)
 	if verdict.Owner == p.settings.Name {
 		p.permits.Verdict(message.GetPlaceVerdict())
--- a/internal/role/gateway/peers_internal_test.go
+++ b/internal/role/gateway/peers_internal_test.go
@@ -43,7 +43,7 @@
 // Guards against engines that are never included in the messages to a standby because
 // the fleet has more engines than one message holds.
 func TestStandbyReceivesAllEnginesInBatches(t *testing.T) {
-	var memory board.Memory
+	var memory board.LearnedState
 	for i := range 3*maxStandbyEngines - 5 {
 		memory.Speeds = append(memory.Speeds, board.Speed{ID: strconv.Itoa(i), Slowness: 1})
 	}
--- a/internal/role/gateway/reload.go
+++ b/internal/role/gateway/reload.go
@@ -20,7 +20,7 @@
 		g.mesh.AddPeer(g.now(), address)
 	}
 	g.logger.Info("settings reloaded", "grace", next.GracePeriod, "seeds", next.SeedAddresses,
-		"retry-share", next.Retry.Share, "retry-slack", next.Retry.Slack, "quota-slack", next.Quota.Slack)
+		"retry-share", next.Retry.Ratio, "retry-slack", next.Retry.Slack, "quota-slack", next.Quota.Slack)
 }
 
 // logOmittedLines logs how many lines were omitted since the last report, if any.
--- a/internal/role/gateway/speeds.go
+++ b/internal/role/gateway/speeds.go
@@ -84,7 +84,7 @@
 	if known {
 		return
 	}
-	s.granter.Recall(speeds)
+	s.granter.RestoreSpeeds(speeds)
 	s.logger.Info("speeds of engines read", "engines", len(entries), "revision", item.Revision)
 }
 
@@ -104,7 +104,7 @@
 // whether it made a call. Two gateways that both consider themselves the scheduler
 // may overwrite each other's speeds; either set of measurements is usable.
 func (s *speedStore) write(ctx context.Context) bool {
-	learned := s.granter.Memory().Speeds
+	learned := s.granter.LearnedState().Speeds
 	s.mu.Lock()
 	changed := speedsChanged(s.stored, learned)
 	s.mu.Unlock()
--- a/internal/role/gateway/standby.go
+++ b/internal/role/gateway/standby.go
@@ -48,14 +48,14 @@
 	if len(standbys) == 0 {
 		return
 	}
-	message := memoryMessage(s.nextBatch(s.granter.Memory()))
+	message := memoryMessage(s.nextBatch(s.granter.LearnedState()))
 	for _, node := range standbys {
 		s.mesh.Send(node, message)
 	}
 }
 
 // nextBatch reduces the engine speeds to the batch for the next message.
-func (s *standbySync) nextBatch(m board.Memory) board.Memory {
+func (s *standbySync) nextBatch(m board.LearnedState) board.LearnedState {
 	if len(m.Speeds) <= maxStandbyEngines {
 		return m
 	}
@@ -77,14 +77,14 @@
 	return nodes
 }
 
-func memoryMessage(m board.Memory) *wire.Envelope {
+func memoryMessage(m board.LearnedState) *wire.Envelope {
 	message := &wire.SchedulerMemory{}
 	for _, s := range m.Speeds {
 		message.Speeds = append(message.Speeds, &wire.EngineSpeed{Id: s.ID, Born: s.Born, Slowness: float32(s.Slowness)})
 	}
 	for _, s := range m.Services {
 		message.Services = append(message.Services, &wire.ServiceMemory{
-			Name: s.Name, Overrun: float32(s.Overrun), Reading: float32(s.Reading), FixedUs: uint32(s.Fixed.Microseconds()),
+			Name: s.Name, Overrun: float32(s.Overrun), Reading: float32(s.PrefillFactor), FixedUs: uint32(s.FixedLatency.Microseconds()),
 		})
 	}
 	return &wire.Envelope{Body: &wire.Envelope_SchedulerMemory{SchedulerMemory: message}}
@@ -96,14 +96,14 @@
 	if p.scheduler(now) != peer {
 		return
 	}
-	var m board.Memory
+	var m board.LearnedState
 	for _, s := range message.Speeds {
 		m.Speeds = append(m.Speeds, board.Speed{ID: s.Id, Born: s.Born, Slowness: float64(s.Slowness)})
 	}
 	for _, s := range message.Services {
-		m.Services = append(m.Services, board.ServiceMemory{
-			Name: s.Name, Overrun: float64(s.Overrun), Reading: float64(s.Reading), Fixed: time.Duration(s.FixedUs) * time.Microsecond,
+		m.Services = append(m.Services, board.LearnedService{
+			Name: s.Name, Overrun: float64(s.Overrun), PrefillFactor: float64(s.Reading), FixedLatency: time.Duration(s.FixedUs) * time.Microsecond,
 		})
 	}
-	p.granter.Take(m)
+	p.granter.ApplyLearned(m)
 }
--- a/internal/role/gateway/views_internal_test.go
+++ b/internal/role/gateway/views_internal_test.go
@@ -47,7 +47,7 @@
 func TestGranterGetsLatestEngineList(t *testing.T) {
 	g := New(Dependencies{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	granted := false
-	g.granter = granter.New(time.Now, func(v board.Verdict) { granted = granted || v.Upstream != "" }, g.logger)
+	g.granter = granter.New(time.Now, func(v board.Decision) { granted = granted || v.Upstream != "" }, g.logger)
 	g.catalog.Store(catalog.New(catalog.Content{Version: 1, Services: []catalog.Service{{Name: "tutor", Engine: &catalog.Engine{Slots: 1}}}}))
 	change := func(state roster.State, revision int64) {
 		g.roster.Put(roster.Upstream{ID: "engine", Service: "tutor", Slots: 1, State: state, Revision: revision})
@@ -59,9 +59,9 @@
 		wg.Go(func() { change(roster.Draining, revision+1) })
 		wg.Wait()
 		now := time.Now()
-		g.granter.Ask(board.Ask{Owner: "me", ID: "a", Service: "tutor", Due: now.Add(time.Second), Until: now.Add(time.Minute), Prompt: 100, Output: 10})
+		g.granter.Submit(board.SlotRequest{Owner: "me", ID: "a", Service: "tutor", NextEventDue: now.Add(time.Second), Deadline: now.Add(time.Minute), PromptTokens: 100, OutputTokens: 10})
 		require.False(t, granted, "revision %d", revision)
-		g.granter.Ended("me", "a", board.End{Outcome: board.Left})
+		g.granter.Release("me", "a", board.SlotResult{Outcome: board.Canceled})
 	}
 }
 
--- a/internal/sched/board/ask.go
+++ b/internal/sched/board/ask.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Ask is a request for a slot on an engine, made on behalf of a generation request.
-type Ask struct {
+// SlotRequest is a request for a slot on an engine, made on behalf of a generation request.
+type SlotRequest struct {
 	// Owner is the gateway that handles the request, and ID identifies the request.
 	Owner, ID string
 	// Number distinguishes this slot request from the owner's others for the same
@@ -16,19 +16,19 @@
 	Service string
 	Domain  string
 	Tier    int
-	// Due is the deadline of the first event. An answer after Until is useless.
-	Due, Until time.Time
-	Prompt     int
-	// Output is the estimated number of tokens to generate.
-	Output int
-	// Ending tells whether the stream is cut off at Until.
-	Ending  Ending
-	MaxGap  time.Duration
-	Exclude []string
+	// NextEventDue is the deadline of the first event. An answer after Deadline is useless.
+	NextEventDue, Deadline time.Time
+	PromptTokens           int
+	// OutputTokens is the estimated number of tokens to generate.
+	OutputTokens int
+	// EndConstraint tells whether the stream is cut off at Until.
+	EndConstraint EndConstraint
+	MaxGap        time.Duration
+	Exclude       []string
 	// Required and excluded version of the engine. An empty string does not restrict it.
-	Only, Not string
-	// Again is set if the request was sent to an engine before. Such requests go first.
-	Again bool
+	RequiredVersion, ExcludedVersion string
+	// Resent is set if the request was sent to an engine before. Such requests go first.
+	Resent bool
 	// Fingerprint identifies a request that is retried after a refusal.
 	Fingerprint uint64
 
@@ -39,14 +39,14 @@
 	refusedBefore bool
 }
 
-// Verdict grants, queues or refuses a slot request. Upstream is empty unless a slot is
+// Decision grants, queues or refuses a slot request. Upstream is empty unless a slot is
 // granted.
-type Verdict struct {
+type Decision struct {
 	Owner, ID  string
 	Number     uint64
 	Upstream   string
 	RetryAfter time.Duration
-	Why        string
+	Reason     string
 	// Waiting is set if the request was queued. Another decision follows.
 	Waiting bool
 }
@@ -62,28 +62,28 @@
 	Failed
 	// Declined: the engine was full.
 	Declined
-	// Unreached: the connection was refused.
-	Unreached
-	// Left: the caller left or the slot request was withdrawn.
-	Left
-	// Broken: the connection was closed before the answer was complete.
-	Broken
+	// Unreachable: the connection was refused.
+	Unreachable
+	// Canceled: the caller left or the slot request was withdrawn.
+	Canceled
+	// Interrupted: the connection was closed before the answer was complete.
+	Interrupted
 )
 
-// End describes how the use of a slot ended.
-type End struct {
+// SlotResult describes how the use of a slot ended.
+type SlotResult struct {
 	Outcome Outcome
 	// Number is the number of the slot request or granted slot. 0 matches any of the request.
 	Number uint64
-	// Stream is the time from the first event to the last, and Tokens the number of tokens
+	// StreamTime is the time from the first event to the last, and Tokens the number of tokens
 	// generated in that time.
-	Stream time.Duration
-	Tokens int
+	StreamTime time.Duration
+	Tokens     int
 }
 
 // allows reports whether the request may be sent to the engine.
-func (req *Ask) allows(e *engine) bool {
-	if (req.Only != "" && req.Only != e.Version) || (req.Not != "" && req.Not == e.Version) {
+func (req *SlotRequest) allows(e *engine) bool {
+	if (req.RequiredVersion != "" && req.RequiredVersion != e.Version) || (req.ExcludedVersion != "" && req.ExcludedVersion == e.Version) {
 		return false
 	}
 	return !slices.Contains(req.Exclude, e.ID)
@@ -92,15 +92,15 @@
 // enqueue inserts the request in the order in which waiting requests are served: first
 // those that were sent before, then by tier, by whether they were refused before, and by
 // first-event deadline.
-func (s *Board) enqueue(req *Ask) {
+func (s *Scheduler) enqueue(req *SlotRequest) {
 	at, _ := slices.BinarySearchFunc(s.waiting, req, compareRequests)
 	s.waiting = slices.Insert(s.waiting, at, req)
 }
 
-func compareRequests(x, y *Ask) int {
+func compareRequests(x, y *SlotRequest) int {
 	return cmp.Or(
-		-compareBools(x.Again, y.Again), cmp.Compare(x.Tier, y.Tier), compareBools(x.refusedBefore, y.refusedBefore),
-		x.Due.Compare(y.Due), cmp.Compare(x.ID, y.ID),
+		-compareBools(x.Resent, y.Resent), cmp.Compare(x.Tier, y.Tier), compareBools(x.refusedBefore, y.refusedBefore),
+		x.NextEventDue.Compare(y.NextEventDue), cmp.Compare(x.ID, y.ID),
 	)
 }
 
--- a/internal/sched/board/board.go
+++ b/internal/sched/board/board.go
@@ -22,9 +22,9 @@
 	EventTokens int
 }
 
-// Board holds the state of all engines and waiting requests. It is not safe for concurrent
+// Scheduler holds the state of all engines and waiting requests. It is not safe for concurrent
 // use.
-type Board struct {
+type Scheduler struct {
 	engines map[string]*engine
 	// byService holds the engines of each service, sorted by ID.
 	byService map[string][]*engine
@@ -33,9 +33,9 @@
 	byOwner map[string]map[string]struct{}
 	// scanOffset is the index of the engine at which the next search starts.
 	scanOffset  int
-	waiting     []*Ask
-	late        []*Ask
-	decisions   []Verdict
+	waiting     []*SlotRequest
+	late        []*SlotRequest
+	decisions   []Decision
 	jitterState uint64
 	// unheardShare is the share of the known gateways that this scheduler does not hear
 	// and that may use other schedulers.
@@ -56,8 +56,8 @@
 }
 
 // New returns an empty scheduler.
-func New() *Board {
-	return &Board{
+func New() *Scheduler {
+	return &Scheduler{
 		engines: make(map[string]*engine), byService: make(map[string][]*engine), byRun: make(map[string]*engine),
 		byOwner:  make(map[string]map[string]struct{}),
 		refusals: make(refusals), restoredSpeeds: make(map[string]Speed), grantRates: make(map[rank]*grantRate), timings: make(map[string]*serviceTiming),
@@ -68,7 +68,7 @@
 // SetUpstreams replaces the list of engines that may be assigned requests. An engine that
 // restarted begins with no runs and an unknown speed. An engine that was unlisted for a
 // while keeps its runs, and they count when it is listed again.
-func (s *Board) SetUpstreams(now time.Time, upstreams []Upstream) {
+func (s *Scheduler) SetUpstreams(now time.Time, upstreams []Upstream) {
 	listed := make(map[string]*engine, len(upstreams))
 	s.byService = make(map[string][]*engine)
 	var unlisted map[string]*engine
@@ -99,7 +99,7 @@
 }
 
 // unlisted returns the engines that are not in the current list but still have runs.
-func (s *Board) unlisted() map[string]*engine {
+func (s *Scheduler) unlisted() map[string]*engine {
 	unlisted := make(map[string]*engine)
 	for _, e := range s.byRun {
 		// If two processes have used the same ID, the later one wins.
@@ -110,7 +110,7 @@
 	return unlisted
 }
 
-func (s *Board) timing(service string) *serviceTiming {
+func (s *Scheduler) timing(service string) *serviceTiming {
 	timing := s.timings[service]
 	if timing == nil {
 		timing = newServiceTiming()
@@ -119,10 +119,10 @@
 	return timing
 }
 
-// SetReach sets how many of the known gateways this scheduler hears. The others are down,
+// SetReachableGateways sets how many of the known gateways this scheduler hears. The others are down,
 // or they are cut off from this scheduler but not from the engines, and then send requests
 // to the same engines on their own.
-func (s *Board) SetReach(now time.Time, heard, known int) {
+func (s *Scheduler) SetReachableGateways(now time.Time, heard, known int) {
 	unheardShare := 0.0
 	if known > 0 {
 		unheardShare = float64(known-heard) / float64(known)
@@ -136,8 +136,8 @@
 	}
 }
 
-// Ask grants the request a slot on a suitable engine, or otherwise queues or refuses it.
-func (s *Board) Ask(now time.Time, request Ask) {
+// Submit grants the request a slot on a suitable engine, or otherwise queues or refuses it.
+func (s *Scheduler) Submit(now time.Time, request SlotRequest) {
 	req := &request
 	if s.superseded(req) {
 		return
@@ -145,14 +145,14 @@
 	req.arrived = now
 	// A gateway holds at most one slot per request. If this scheduler still counts an
 	// earlier one, it was released to another scheduler.
-	s.Ended(now, request.Owner, request.ID, End{Outcome: Left})
-	req.giveUpAt = earliest(now.Add(maxLateWait), req.Until)
+	s.Release(now, request.Owner, request.ID, SlotResult{Outcome: Canceled})
+	req.giveUpAt = earliest(now.Add(maxLateWait), req.Deadline)
 	req.refusedBefore = s.refusals.consume(now, req.Fingerprint)
 	if s.tryGrant(now, req, false) {
 		return
 	}
 	if !s.canEndInTime(now, req) {
-		s.decide(req, Verdict{Why: "gateway stops before any engine could complete the stream"})
+		s.decide(req, Decision{Reason: "gateway stops before any engine could complete the stream"})
 		return
 	}
 	if slack := s.slack(now, req); slack >= 0 {
@@ -162,7 +162,7 @@
 		}
 		s.enqueue(req)
 		s.updateSaturation(now)
-		s.decide(req, Verdict{Waiting: true})
+		s.decide(req, Decision{Waiting: true})
 		return
 	}
 	s.enqueueLate(now, req)
@@ -170,7 +170,7 @@
 
 // superseded reports whether the gateway holds a newer slot for the request. The gateway
 // abandoned this slot request, which arrived late over a connection that was replaced.
-func (s *Board) superseded(req *Ask) bool {
+func (s *Scheduler) superseded(req *SlotRequest) bool {
 	k := runKey(req.Owner, req.ID)
 	e := s.byRun[k]
 	if e == nil {
@@ -181,12 +181,12 @@
 }
 
 // decide queues the decision on a request for delivery to its owner.
-func (s *Board) decide(req *Ask, v Verdict) {
+func (s *Scheduler) decide(req *SlotRequest, v Decision) {
 	v.Owner, v.ID, v.Number = req.Owner, req.ID, req.Number
 	s.decisions = append(s.decisions, v)
 }
 
-func (s *Board) slots(service string) int {
+func (s *Scheduler) slots(service string) int {
 	slots := 0
 	for _, e := range s.byService[service] {
 		slots += e.Slots
@@ -196,7 +196,7 @@
 
 // Started records the first event of a run, and the number of requests that its engine
 // reported, or -1 if it reported none.
-func (s *Board) Started(now time.Time, owner, id string, reported int) {
+func (s *Scheduler) Started(now time.Time, owner, id string, reported int) {
 	e := s.byRun[runKey(owner, id)]
 	if e == nil {
 		return
@@ -211,8 +211,8 @@
 	s.fill(now, e)
 }
 
-// Ended ends the use of a slot, or withdraws a waiting request.
-func (s *Board) Ended(now time.Time, owner, id string, end End) {
+// Release ends the use of a slot, or withdraws a waiting request.
+func (s *Scheduler) Release(now time.Time, owner, id string, end SlotResult) {
 	k := runKey(owner, id)
 	s.withdraw(owner, id, end.Number)
 	e := s.byRun[k]
@@ -228,8 +228,8 @@
 		return
 	}
 	if end.Outcome == Answered && r.started {
-		e.learnOverrun(r, end.Stream)
-		e.learnStream(now, r, end.Stream, end.Tokens)
+		e.learnOverrun(r, end.StreamTime)
+		e.learnStream(now, r, end.StreamTime, end.Tokens)
 	}
 	e.remove(now, k, r)
 	switch end.Outcome {
@@ -238,19 +238,19 @@
 		e.failureRate.Succeeded(now)
 	case Failed:
 		e.failureRate.Failed(now)
-	case Broken:
+	case Interrupted:
 		e.failureRate.Broken(now)
 	case Declined:
 		e.recordLoad(now, e.Slots)
-	case Unreached:
+	case Unreachable:
 		e.backOff(now)
-	case Left:
+	case Canceled:
 	}
 	s.fill(now, e)
 }
 
-func (s *Board) withdraw(owner, id string, number uint64) {
-	match := func(req *Ask) bool {
+func (s *Scheduler) withdraw(owner, id string, number uint64) {
+	match := func(req *SlotRequest) bool {
 		return req.ID == id && req.Owner == owner && (number == 0 || number == req.Number)
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, match)
@@ -259,9 +259,9 @@
 
 // DropOwner removes all requests and runs of a gateway that is down. Its engines cancel
 // the requests of its closed connections.
-func (s *Board) DropOwner(now time.Time, owner string) {
-	s.waiting = slices.DeleteFunc(s.waiting, func(req *Ask) bool { return req.Owner == owner })
-	s.late = slices.DeleteFunc(s.late, func(req *Ask) bool { return req.Owner == owner })
+func (s *Scheduler) DropOwner(now time.Time, owner string) {
+	s.waiting = slices.DeleteFunc(s.waiting, func(req *SlotRequest) bool { return req.Owner == owner })
+	s.late = slices.DeleteFunc(s.late, func(req *SlotRequest) bool { return req.Owner == owner })
 	for k := range s.byOwner[owner] {
 		e := s.byRun[k]
 		if r := e.runs[k]; r != nil {
@@ -271,7 +271,7 @@
 	}
 }
 
-func (s *Board) addRun(owner, k string, e *engine) {
+func (s *Scheduler) addRun(owner, k string, e *engine) {
 	s.byRun[k] = e
 	if s.byOwner[owner] == nil {
 		s.byOwner[owner] = make(map[string]struct{})
@@ -279,7 +279,7 @@
 	s.byOwner[owner][k] = struct{}{}
 }
 
-func (s *Board) dropRun(owner, k string) {
+func (s *Scheduler) dropRun(owner, k string) {
 	delete(s.byRun, k)
 	delete(s.byOwner[owner], k)
 	if len(s.byOwner[owner]) == 0 {
@@ -290,24 +290,24 @@
 // Tick moves requests that can no longer be served in time to the late queue, refuses late
 // requests whose wait is over, and retries the others. It is to be called regularly while
 // requests wait.
-func (s *Board) Tick(now time.Time) {
+func (s *Scheduler) Tick(now time.Time) {
 	if now.Sub(s.refusalsExpiredAt) > refusalTTL {
 		s.refusalsExpiredAt = now
 		s.refusals.expire(now)
 	}
-	var missed []*Ask
+	var missed []*SlotRequest
 	fastest := make(map[string]*engine, len(s.byService))
 	for service := range s.byService {
 		fastest[service] = s.fastest(now, service)
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(req *Ask) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(req *SlotRequest) bool {
 		if s.slackOn(now, req, fastest[req.Service]) >= 0 {
 			return false
 		}
 		missed = append(missed, req)
 		return true
 	})
-	s.late = slices.DeleteFunc(s.late, func(req *Ask) bool {
+	s.late = slices.DeleteFunc(s.late, func(req *SlotRequest) bool {
 		if now.Before(req.giveUpAt) {
 			return false
 		}
@@ -323,7 +323,7 @@
 
 // fillAll fills every engine that has a free slot. An engine may become suitable for a
 // waiting request just because time has passed.
-func (s *Board) fillAll(now time.Time) {
+func (s *Scheduler) fillAll(now time.Time) {
 	for _, list := range s.byService {
 		for _, e := range list {
 			if e.running(now) < e.Slots {
@@ -333,14 +333,14 @@
 	}
 }
 
-// TickEvery is the interval between ticks while requests wait.
-const TickEvery = 10 * time.Millisecond
+// TickInterval is the interval between ticks while requests wait.
+const TickInterval = 10 * time.Millisecond
 
 // Waiting reports whether any requests are waiting.
-func (s *Board) Waiting() bool { return len(s.waiting)+len(s.late) > 0 }
+func (s *Scheduler) Waiting() bool { return len(s.waiting)+len(s.late) > 0 }
 
-// Verdicts returns the decisions made since the last call.
-func (s *Board) Verdicts() []Verdict {
+// Decisions returns the decisions made since the last call.
+func (s *Scheduler) Decisions() []Decision {
 	decisions := s.decisions
 	s.decisions = nil
 	return decisions
--- a/internal/sched/board/board_bench_test.go
+++ b/internal/sched/board/board_bench_test.go
@@ -28,26 +28,26 @@
 	for i := 0; b.Loop(); i++ {
 		id := strconv.Itoa(i)
 		a := newSlotRequest(now, "gateway", id)
-		a.Due, a.MaxGap = now.Add(time.Hour), 0
-		full.Ask(now, a)
-		full.Ended(now, "gateway", strconv.Itoa(i-count*slots-waiting), answeredEnd)
-		for _, v := range full.Verdicts() {
+		a.NextEventDue, a.MaxGap = now.Add(time.Hour), 0
+		full.Submit(now, a)
+		full.Release(now, "gateway", strconv.Itoa(i-count*slots-waiting), answeredEnd)
+		for _, v := range full.Decisions() {
 			full.Started(now, v.Owner, v.ID, -1)
 		}
 	}
 }
 
-var answeredEnd = board.End{Outcome: board.Answered}
+var answeredEnd = board.SlotResult{Outcome: board.Answered}
 
-func newFullScheduler(count, slots, waiting int) *board.Board {
+func newFullScheduler(count, slots, waiting int) *board.Scheduler {
 	full := board.New()
 	full.SetUpstreams(startTime, newEngines(count, slots))
 	for i := -count*slots - waiting; i < 0; i++ {
 		a := newSlotRequest(startTime, "gateway", strconv.Itoa(i))
-		a.Due, a.MaxGap, a.Prompt = startTime.Add(time.Hour), 0, 1
-		full.Ask(startTime, a)
+		a.NextEventDue, a.MaxGap, a.PromptTokens = startTime.Add(time.Hour), 0, 1
+		full.Submit(startTime, a)
 	}
-	for _, v := range full.Verdicts() {
+	for _, v := range full.Decisions() {
 		full.Started(startTime, v.Owner, v.ID, -1)
 	}
 	return full
--- a/internal/sched/board/broken_test.go
+++ b/internal/sched/board/broken_test.go
@@ -17,10 +17,10 @@
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(2, 12))
 	for i := range 20 {
-		b.Ask(startTime, newSlotRequest(startTime, "gateway", "before"+strconv.Itoa(i)))
+		b.Submit(startTime, newSlotRequest(startTime, "gateway", "before"+strconv.Itoa(i)))
 	}
 	var broken []string
-	for _, v := range b.Verdicts() {
+	for _, v := range b.Decisions() {
 		if v.Upstream == "e0" {
 			broken = append(broken, v.ID)
 		}
@@ -28,10 +28,10 @@
 	require.NotEmpty(t, broken)
 	resetAt := startTime.Add(500 * time.Millisecond)
 	for _, id := range broken {
-		b.Ended(resetAt, "gateway", id, board.End{Outcome: board.Broken})
+		b.Release(resetAt, "gateway", id, board.SlotResult{Outcome: board.Interrupted})
 	}
-	b.Ask(resetAt, newSlotRequest(resetAt, "gateway", "after"))
-	decisions := b.Verdicts()
+	b.Submit(resetAt, newSlotRequest(resetAt, "gateway", "after"))
+	decisions := b.Decisions()
 	require.Len(t, decisions, 1)
 	require.Equal(t, "e0", decisions[0].Upstream)
 }
@@ -46,20 +46,20 @@
 		id := "r" + strconv.Itoa(i)
 		a := newSlotRequest(now, "gateway", id)
 		a.Exclude = []string{"e1"}
-		b.Ask(now, a)
+		b.Submit(now, a)
 		now = now.Add(200 * time.Millisecond)
-		end := board.End{Outcome: board.Broken}
+		end := board.SlotResult{Outcome: board.Interrupted}
 		if i%2 == 0 {
 			end.Outcome = board.Answered
 		}
 		b.Started(now, "gateway", id, -1)
-		b.Ended(now, "gateway", id, end)
+		b.Release(now, "gateway", id, end)
 	}
-	b.Verdicts()
+	b.Decisions()
 	for i := range 6 {
-		b.Ask(now, newSlotRequest(now, "gateway", "after"+strconv.Itoa(i)))
+		b.Submit(now, newSlotRequest(now, "gateway", "after"+strconv.Itoa(i)))
 	}
-	for _, v := range b.Verdicts() {
+	for _, v := range b.Decisions() {
 		require.Equal(t, "e1", v.Upstream)
 	}
 }
--- a/internal/sched/board/fill.go
+++ b/internal/sched/board/fill.go
@@ -11,7 +11,7 @@
 // fill assigns waiting requests to an engine with free slots: requests that can be served
 // in time first, and late ones only if none of those is left. An engine that is no longer
 // listed gets none.
-func (s *Board) fill(now time.Time, e *engine) {
+func (s *Scheduler) fill(now time.Time, e *engine) {
 	if s.engines[e.ID] != e {
 		return
 	}
@@ -22,7 +22,7 @@
 	}
 }
 
-func (s *Board) fillFrom(now time.Time, e *engine, queue []*Ask, late bool, baseline float64) []*Ask {
+func (s *Scheduler) fillFrom(now time.Time, e *engine, queue []*SlotRequest, late bool, baseline float64) []*SlotRequest {
 	for e.running(now) < e.Slots {
 		index := s.nextFor(now, e, queue, late, baseline)
 		if index < 0 {
@@ -40,7 +40,7 @@
 // nextFor returns the index of the first request in the queue for which the engine is
 // suitable, or -1. A request of a lower tier is chosen only if the engine is suitable for
 // none of a higher one.
-func (s *Board) nextFor(now time.Time, e *engine, queue []*Ask, late bool, baseline float64) int {
+func (s *Scheduler) nextFor(now time.Time, e *engine, queue []*SlotRequest, late bool, baseline float64) int {
 	for i, req := range queue[:min(len(queue), maxScanned)] {
 		if req.Service != e.Service {
 			continue
--- a/internal/sched/board/gone_test.go
+++ b/internal/sched/board/gone_test.go
@@ -15,17 +15,17 @@
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(2, 1))
 	for i := range 2 {
-		b.Ask(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
+		b.Submit(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
 	}
-	decisions := b.Verdicts()
+	decisions := b.Decisions()
 	require.Equal(t, 2, countGranted(decisions))
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "new"))
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "new"))
 
 	b.SetUpstreams(startTime, newEngines(1, 1))
 	for _, v := range decisions {
 		if v.Upstream == "e1" {
-			b.Ended(startTime, "gateway", v.ID, board.End{Outcome: board.Answered})
+			b.Release(startTime, "gateway", v.ID, board.SlotResult{Outcome: board.Answered})
 		}
 	}
-	require.Zero(t, countGranted(b.Verdicts()))
+	require.Zero(t, countGranted(b.Decisions()))
 }
--- a/internal/sched/board/late.go
+++ b/internal/sched/board/late.go
@@ -22,7 +22,7 @@
 // if the queue is full. While all slots go to requests that can be served in time, it
 // refuses the request at once: holding it would only keep its caller from retrying at a
 // better time.
-func (s *Board) enqueueLate(now time.Time, req *Ask) {
+func (s *Scheduler) enqueueLate(now time.Time, req *SlotRequest) {
 	if s.saturatedFor(now) > saturationThreshold {
 		s.refuse(now, req, "too late to be served in time, and timely requests are waiting")
 		return
@@ -36,12 +36,12 @@
 		return
 	}
 	if s.tryGrant(now, req, true) {
-		s.late = slices.DeleteFunc(s.late, func(other *Ask) bool { return other == req })
+		s.late = slices.DeleteFunc(s.late, func(other *SlotRequest) bool { return other == req })
 		return
 	}
-	s.decide(req, Verdict{Waiting: true})
+	s.decide(req, Decision{Waiting: true})
 }
 
-func (s *Board) maxLate(service string) int {
+func (s *Scheduler) maxLate(service string) int {
 	return int(maxLateShare * float64(s.slots(service)))
 }
--- a/internal/sched/board/learned_test.go
+++ b/internal/sched/board/learned_test.go
@@ -21,26 +21,26 @@
 	// With this many runs, only requests that can meet their deadline get a slot.
 	var busy []board.HeldSlot
 	for i := range 9 {
-		busy = append(busy, board.HeldSlot{ID: "busy" + strconv.Itoa(i), Upstream: "e1", Output: 100, Started: true})
+		busy = append(busy, board.HeldSlot{ID: "busy" + strconv.Itoa(i), Upstream: "e1", OutputTokens: 100, Started: true})
 	}
 	b.Reconcile(startTime, "other", busy)
 	now := startTime
 	isGranted := func(engine, id string, due time.Duration) bool {
 		now = now.Add(time.Second)
 		a := newSlotRequest(now, "gateway", id)
-		a.Prompt, a.Due, a.MaxGap = 12_000, now.Add(due), 0
+		a.PromptTokens, a.NextEventDue, a.MaxGap = 12_000, now.Add(due), 0
 		if engine == "e0" {
 			a.Exclude = []string{"e1"}
 		} else {
 			a.Exclude = []string{"e0"}
 		}
-		b.Ask(now, a)
-		ok := countGranted(b.Verdicts()) == 1
+		b.Submit(now, a)
+		ok := countGranted(b.Decisions()) == 1
 		if ok {
 			b.Started(now.Add(360*time.Millisecond), a.Owner, a.ID, -1)
 		}
-		b.Ended(now.Add(400*time.Millisecond), a.Owner, a.ID, board.End{Outcome: board.Left})
-		b.Verdicts()
+		b.Release(now.Add(400*time.Millisecond), a.Owner, a.ID, board.SlotResult{Outcome: board.Canceled})
+		b.Decisions()
 		return ok
 	}
 	require.True(t, isGranted("e1", "before", 300*time.Millisecond))
@@ -60,18 +60,18 @@
 	now := startTime.Add(time.Second)
 	for i := range 40 {
 		a := newSlotRequest(now, "gateway", strconv.Itoa(i))
-		b.Ask(now, a)
+		b.Submit(now, a)
 		took := 80 * time.Millisecond
 		if i == 39 {
 			took = 4 * time.Second
 		}
 		b.Started(now.Add(took), a.Owner, a.ID, -1)
 		now = now.Add(took)
-		b.Ended(now, a.Owner, a.ID, board.End{Outcome: board.Left})
-		b.Verdicts()
+		b.Release(now, a.Owner, a.ID, board.SlotResult{Outcome: board.Canceled})
+		b.Decisions()
 	}
 	a := newSlotRequest(now, "gateway", "after")
-	a.Due = now.Add(130 * time.Millisecond)
-	b.Ask(now, a)
-	require.Equal(t, 1, countGranted(b.Verdicts()))
+	a.NextEventDue = now.Add(130 * time.Millisecond)
+	b.Submit(now, a)
+	require.Equal(t, 1, countGranted(b.Decisions()))
 }
--- a/internal/sched/board/memory.go
+++ b/internal/sched/board/memory.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// Memory is what a scheduler has learned and another scheduler would need seconds to learn
+// LearnedState is what a scheduler has learned and another scheduler would need seconds to learn
 // again.
-type Memory struct {
+type LearnedState struct {
 	Speeds   []Speed
-	Services []ServiceMemory
+	Services []LearnedService
 }
 
-// ServiceMemory is what was learned about all engines of a service.
-type ServiceMemory struct {
+// LearnedService is what was learned about all engines of a service.
+type LearnedService struct {
 	Name string
 	// Overrun is by what factor streams may overrun their planned time, 0 if none has
 	// ended yet.
 	Overrun float64
 	// Factor by which prefill is slower than the decoding speed suggests, and the part of
 	// the first-event latency that does not depend on the engine.
-	Reading float64
-	Fixed   time.Duration
+	PrefillFactor float64
+	FixedLatency  time.Duration
 }
 
-// Memory returns what was learned, sorted by ID and name.
-func (s *Board) Memory() Memory {
-	m := Memory{Speeds: s.Speeds()}
+// LearnedState returns what was learned, sorted by ID and name.
+func (s *Scheduler) LearnedState() LearnedState {
+	m := LearnedState{Speeds: s.Speeds()}
 	for name, timing := range s.timings {
-		service := ServiceMemory{Name: name, Reading: timing.prefillFactor, Fixed: timing.fixedLatency}
+		service := LearnedService{Name: name, PrefillFactor: timing.prefillFactor, FixedLatency: timing.fixedLatency}
 		if timing.overrun.known {
 			service.Overrun = timing.overrun.ratio()
 		}
 		m.Services = append(m.Services, service)
 	}
-	slices.SortFunc(m.Services, func(x, y ServiceMemory) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(m.Services, func(x, y LearnedService) int { return cmp.Compare(x.Name, y.Name) })
 	return m
 }
 
-// Take applies what the active scheduler has learned, while this one is on standby.
+// ApplyLearned applies what the active scheduler has learned, while this one is on standby.
 // Without it, after a takeover it would plan streams that must end in time with the
 // default overrun and with the speeds of the last time it was active.
-func (s *Board) Take(m Memory) {
+func (s *Scheduler) ApplyLearned(m LearnedState) {
 	for _, speed := range m.Speeds {
 		s.restoredSpeeds[speed.ID] = speed
 		if e := s.engines[speed.ID]; e != nil {
@@ -52,8 +52,8 @@
 	}
 	for _, service := range m.Services {
 		timing := s.timing(service.Name)
-		timing.prefillFactor = min(max(service.Reading, minPrefillFactor), maxPrefillFactor)
-		timing.fixedLatency = min(max(service.Fixed, 0), maxFixedLatency)
+		timing.prefillFactor = min(max(service.PrefillFactor, minPrefillFactor), maxPrefillFactor)
+		timing.fixedLatency = min(max(service.FixedLatency, 0), maxFixedLatency)
 		timing.samples = max(timing.samples, restoredSamples)
 		if service.Overrun >= minOverrun {
 			timing.overrun = overrun{logRatio: math.Log(min(service.Overrun, maxOverrun)), known: true}
--- a/internal/sched/board/memory_test.go
+++ b/internal/sched/board/memory_test.go
@@ -22,13 +22,13 @@
 	scheduler.SetUpstreams(startTime, newEngines(2, 12))
 	learnSlowness(scheduler, "e0", 2)
 	learnSlowness(scheduler, "e1", 0.3)
-	standby.Take(scheduler.Memory())
+	standby.ApplyLearned(scheduler.LearnedState())
 
 	now := startTime.Add(time.Second)
 	a := newSlotRequest(now, "gateway", "sure")
-	a.Until, a.Ending, a.Output = now.Add(3*time.Second), board.EndSure, 200
-	standby.Ask(now, a)
-	require.Equal(t, "e1", standby.Verdicts()[0].Upstream)
+	a.Deadline, a.EndConstraint, a.OutputTokens = now.Add(3*time.Second), board.EndRequired, 200
+	standby.Submit(now, a)
+	require.Equal(t, "e1", standby.Decisions()[0].Upstream)
 }
 
 // A peer that is faulty or of another version may send values that no engine can have.
@@ -36,14 +36,14 @@
 func TestStandbyRejectsImpossibleValues(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 12))
-	b.Take(board.Memory{
+	b.ApplyLearned(board.LearnedState{
 		Speeds:   []board.Speed{{ID: "e0", Slowness: -3}, {ID: "unknown", Slowness: 1}},
-		Services: []board.ServiceMemory{{Name: "tutor", Overrun: 1e9, Reading: -1, Fixed: -time.Second}},
+		Services: []board.LearnedService{{Name: "tutor", Overrun: 1e9, PrefillFactor: -1, FixedLatency: -time.Second}},
 	})
 	require.Empty(t, b.Speeds())
-	m := b.Memory()
+	m := b.LearnedState()
 	require.Len(t, m.Services, 1)
-	require.GreaterOrEqual(t, m.Services[0].Fixed, time.Duration(0))
-	require.GreaterOrEqual(t, m.Services[0].Reading, 1.0)
+	require.GreaterOrEqual(t, m.Services[0].FixedLatency, time.Duration(0))
+	require.GreaterOrEqual(t, m.Services[0].PrefillFactor, 1.0)
 	require.LessOrEqual(t, m.Services[0].Overrun, 100.0)
 }
--- a/internal/sched/board/number_test.go
+++ b/internal/sched/board/number_test.go
@@ -9,16 +9,16 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/board"
 )
 
-func newOneSlotScheduler(now time.Time) *board.Board {
+func newOneSlotScheduler(now time.Time) *board.Scheduler {
 	b := board.New()
 	b.SetUpstreams(now, []board.Upstream{{ID: "e0", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
 	return b
 }
 
-func newNumberedRequest(now time.Time, id string, number uint64) board.Ask {
-	return board.Ask{
+func newNumberedRequest(now time.Time, id string, number uint64) board.SlotRequest {
+	return board.SlotRequest{
 		Owner: "gateway", ID: id, Number: number, Service: "tutor", Domain: "a",
-		Due: now.Add(600 * time.Millisecond), Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		NextEventDue: now.Add(600 * time.Millisecond), Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 	}
 }
 
@@ -26,19 +26,19 @@
 func TestReleaseEndsOnlyTheNumberedSlot(t *testing.T) {
 	now := time.Now()
 	b := newOneSlotScheduler(now)
-	b.Ask(now, newNumberedRequest(now, "one", 2))
-	b.Ended(now, "gateway", "one", board.End{Outcome: board.Left, Number: 1})
-	b.Ask(now, newNumberedRequest(now, "two", 3))
+	b.Submit(now, newNumberedRequest(now, "one", 2))
+	b.Release(now, "gateway", "one", board.SlotResult{Outcome: board.Canceled, Number: 1})
+	b.Submit(now, newNumberedRequest(now, "two", 3))
 	grants := 0
-	for _, v := range b.Verdicts() {
+	for _, v := range b.Decisions() {
 		if v.Upstream != "" {
 			grants++
 			require.Equal(t, uint64(2), v.Number)
 		}
 	}
 	require.Equal(t, 1, grants)
-	b.Ended(now, "gateway", "one", board.End{Outcome: board.Answered, Number: 2})
-	decisions := b.Verdicts()
+	b.Release(now, "gateway", "one", board.SlotResult{Outcome: board.Answered, Number: 2})
+	decisions := b.Decisions()
 	require.Len(t, decisions, 1)
 	require.Equal(t, "e0", decisions[0].Upstream)
 	require.Equal(t, uint64(3), decisions[0].Number)
@@ -48,12 +48,12 @@
 func TestWithdrawalKeepsLaterSlotRequest(t *testing.T) {
 	now := time.Now()
 	b := newOneSlotScheduler(now)
-	b.Ask(now, newNumberedRequest(now, "runs", 1))
-	b.Ask(now, newNumberedRequest(now, "waits", 3))
-	b.Verdicts()
-	b.Ended(now, "gateway", "waits", board.End{Outcome: board.Left, Number: 2})
+	b.Submit(now, newNumberedRequest(now, "runs", 1))
+	b.Submit(now, newNumberedRequest(now, "waits", 3))
+	b.Decisions()
+	b.Release(now, "gateway", "waits", board.SlotResult{Outcome: board.Canceled, Number: 2})
 	require.True(t, b.Waiting())
-	b.Ended(now, "gateway", "waits", board.End{Outcome: board.Left, Number: 3})
+	b.Release(now, "gateway", "waits", board.SlotResult{Outcome: board.Canceled, Number: 3})
 	require.False(t, b.Waiting())
 }
 
@@ -66,12 +66,12 @@
 		{ID: "e0", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6},
 		{ID: "e1", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6},
 	})
-	b.Ask(now, newNumberedRequest(now, "one", 1))
-	granted := b.Verdicts()[0].Upstream
+	b.Submit(now, newNumberedRequest(now, "one", 1))
+	granted := b.Decisions()[0].Upstream
 	other := map[string]string{"e0": "e1", "e1": "e0"}[granted]
-	b.Reconcile(now, "gateway", []board.HeldSlot{{ID: "one", Number: 2, Upstream: other, Prompt: 1000, Output: 100, Started: true}})
-	b.Ask(now, newNumberedRequest(now, "two", 3))
-	decisions := b.Verdicts()
+	b.Reconcile(now, "gateway", []board.HeldSlot{{ID: "one", Number: 2, Upstream: other, PromptTokens: 1000, OutputTokens: 100, Started: true}})
+	b.Submit(now, newNumberedRequest(now, "two", 3))
+	decisions := b.Decisions()
 	require.Len(t, decisions, 1)
 	require.Equal(t, granted, decisions[0].Upstream)
 }
@@ -81,16 +81,16 @@
 func TestDelayedSlotRequestKeepsNewerSlot(t *testing.T) {
 	now := time.Now()
 	b := newOneSlotScheduler(now)
-	b.Reconcile(now, "gateway", []board.HeldSlot{{ID: "one", Number: 2, Upstream: "e0", Prompt: 1000, Output: 100}})
-	b.Ask(now, newNumberedRequest(now, "one", 1))
-	b.Ended(now, "gateway", "one", board.End{Outcome: board.Left, Number: 1})
-	b.Ask(now, newNumberedRequest(now, "two", 3))
-	for _, v := range b.Verdicts() {
+	b.Reconcile(now, "gateway", []board.HeldSlot{{ID: "one", Number: 2, Upstream: "e0", PromptTokens: 1000, OutputTokens: 100}})
+	b.Submit(now, newNumberedRequest(now, "one", 1))
+	b.Release(now, "gateway", "one", board.SlotResult{Outcome: board.Canceled, Number: 1})
+	b.Submit(now, newNumberedRequest(now, "two", 3))
+	for _, v := range b.Decisions() {
 		require.Empty(t, v.Upstream, "the engine's slot is in use")
 	}
-	b.Reconcile(now, "gateway", []board.HeldSlot{{ID: "one", Number: 1, Upstream: "e0", Prompt: 1000, Output: 100}})
-	b.Ended(now, "gateway", "one", board.End{Outcome: board.Answered, Number: 2})
-	decisions := b.Verdicts()
+	b.Reconcile(now, "gateway", []board.HeldSlot{{ID: "one", Number: 1, Upstream: "e0", PromptTokens: 1000, OutputTokens: 100}})
+	b.Release(now, "gateway", "one", board.SlotResult{Outcome: board.Answered, Number: 2})
+	decisions := b.Decisions()
 	require.Len(t, decisions, 1)
 	require.Equal(t, uint64(3), decisions[0].Number)
 }
--- a/internal/sched/board/overrun.go
+++ b/internal/sched/board/overrun.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Ending tells whether a stream is cut off at the time Until of its slot request.
-type Ending int
+// EndConstraint tells whether a stream is cut off at the time Until of its slot request.
+type EndConstraint int
 
 // Ways for a stream to end.
 const (
-	// EndOpen streams go on for as long as the caller waits.
-	EndOpen Ending = iota
-	// EndLikely streams are cut off at Until and should be complete by then.
-	EndLikely
-	// EndSure streams are cut off at Until and must be complete by then.
-	EndSure
+	// EndUnconstrained streams go on for as long as the caller waits.
+	EndUnconstrained EndConstraint = iota
+	// EndPreferred streams are cut off at Until and should be complete by then.
+	EndPreferred
+	// EndRequired streams are cut off at Until and must be complete by then.
+	EndRequired
 )
 
 const (
@@ -94,26 +94,26 @@
 // Until, with all slots of the engine in use. For an open-ended stream only the estimated
 // length counts: with a margin, the longest streams would fit on the fastest engines only
 // and were refused while other engines were free.
-func (e *engine) endsInTime(now time.Time, req *Ask, firstEvent time.Duration) bool {
-	remaining := req.Until.Sub(now)
-	switch req.Ending {
-	case EndSure:
-		return firstEvent+e.maxStreamTime(req.Output) <= remaining
-	case EndLikely:
-		return firstEvent+e.decodeTime(likelyOverrun*float64(req.Output)) <= remaining
-	case EndOpen:
+func (e *engine) endsInTime(now time.Time, req *SlotRequest, firstEvent time.Duration) bool {
+	remaining := req.Deadline.Sub(now)
+	switch req.EndConstraint {
+	case EndRequired:
+		return firstEvent+e.maxStreamTime(req.OutputTokens) <= remaining
+	case EndPreferred:
+		return firstEvent+e.decodeTime(likelyOverrun*float64(req.OutputTokens)) <= remaining
+	case EndUnconstrained:
 	}
-	return firstEvent+e.decodeTime(float64(req.Output)) <= remaining
+	return firstEvent+e.decodeTime(float64(req.OutputTokens)) <= remaining
 }
 
 // canEndInTime reports whether any engine, if idle, could end a stream that is cut off at
 // Until. If none can, waiting for a slot does not help.
-func (s *Board) canEndInTime(now time.Time, req *Ask) bool {
-	if req.Ending == EndOpen {
+func (s *Scheduler) canEndInTime(now time.Time, req *SlotRequest) bool {
+	if req.EndConstraint == EndUnconstrained {
 		return true
 	}
 	for _, e := range s.byService[req.Service] {
-		if req.allows(e) && e.endsInTime(now, req, e.idleFirstEvent(req.Prompt)) {
+		if req.allows(e) && e.endsInTime(now, req, e.idleFirstEvent(req.PromptTokens)) {
 			return true
 		}
 	}
--- a/internal/sched/board/overrun_test.go
+++ b/internal/sched/board/overrun_test.go
@@ -22,14 +22,14 @@
 	now := startTime.Add(time.Second)
 
 	fits := newSlotRequest(now, "gateway", "fits")
-	fits.Until, fits.Ending, fits.Output = now.Add(3*time.Second), board.EndSure, 200
-	b.Ask(now, fits)
-	require.Equal(t, "e1", b.Verdicts()[0].Upstream, "the ordinary engine may take longer")
+	fits.Deadline, fits.EndConstraint, fits.OutputTokens = now.Add(3*time.Second), board.EndRequired, 200
+	b.Submit(now, fits)
+	require.Equal(t, "e1", b.Decisions()[0].Upstream, "the ordinary engine may take longer")
 
 	long := fits
-	long.ID, long.Output = "long", 1000
-	b.Ask(now, long)
-	v := b.Verdicts()[0]
+	long.ID, long.OutputTokens = "long", 1000
+	b.Submit(now, long)
+	v := b.Decisions()[0]
 	require.Empty(t, v.Upstream)
 	require.False(t, v.Waiting, "waiting would not make it shorter")
 	require.LessOrEqual(t, v.RetryAfter, 10*time.Millisecond, "another gateway has enough time")
@@ -41,9 +41,9 @@
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 12))
 	a := newSlotRequest(startTime, "gateway", "a")
-	a.Until, a.Ending, a.Output = startTime.Add(4*time.Second), board.EndSure, 200
-	b.Ask(startTime, a)
-	require.Empty(t, b.Verdicts()[0].Upstream)
+	a.Deadline, a.EndConstraint, a.OutputTokens = startTime.Add(4*time.Second), board.EndRequired, 200
+	b.Submit(startTime, a)
+	require.Empty(t, b.Decisions()[0].Upstream)
 }
 
 // While streams keep to their estimated lengths, the planned margin decreases. One stream
@@ -54,18 +54,18 @@
 	now := startTime
 	runStream := func(id string, took time.Duration) {
 		a := newSlotRequest(now, "gateway", id)
-		b.Ask(now, a)
+		b.Submit(now, a)
 		b.Started(now.Add(100*time.Millisecond), a.Owner, a.ID, -1)
 		now = now.Add(100*time.Millisecond + took)
-		b.Ended(now, a.Owner, a.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: 100})
-		b.Verdicts()
+		b.Release(now, a.Owner, a.ID, board.SlotResult{Outcome: board.Answered, StreamTime: took, Tokens: 100})
+		b.Decisions()
 	}
 	countSureGrants := func() int {
 		a := newSlotRequest(now, "gateway", "sure"+now.String())
-		a.Until, a.Ending = now.Add(2*time.Second), board.EndSure
-		b.Ask(now, a)
-		count := countGranted(b.Verdicts())
-		b.Ended(now, a.Owner, a.ID, board.End{Outcome: board.Left})
+		a.Deadline, a.EndConstraint = now.Add(2*time.Second), board.EndRequired
+		b.Submit(now, a)
+		count := countGranted(b.Decisions())
+		b.Release(now, a.Owner, a.ID, board.SlotResult{Outcome: board.Canceled})
 		return count
 	}
 	for i := range 4000 {
@@ -85,9 +85,9 @@
 	learnSlowness(b, "e0", 2)
 	now := startTime.Add(time.Second)
 	long := newSlotRequest(now, "gateway", "long")
-	long.Output = 1300
-	b.Ask(now, long)
-	require.Equal(t, "e0", b.Verdicts()[0].Upstream)
+	long.OutputTokens = 1300
+	b.Submit(now, long)
+	require.Equal(t, "e0", b.Decisions()[0].Upstream)
 }
 
 // A short stream that runs while long prompts are prefilled says little about an engine's
@@ -100,14 +100,14 @@
 		learnSlowness(b, "e0", 1)
 	}
 	short := newSlotRequest(startTime, "gateway", "short")
-	b.Ask(startTime, short)
+	b.Submit(startTime, short)
 	b.Started(startTime.Add(100*time.Millisecond), short.Owner, short.ID, -1)
 	for i := range 4 {
 		prefill := newSlotRequest(startTime, "gateway", "prefill"+strconv.Itoa(i))
-		prefill.Prompt, prefill.MaxGap = 6000, 0
-		b.Ask(startTime.Add(110*time.Millisecond), prefill)
+		prefill.PromptTokens, prefill.MaxGap = 6000, 0
+		b.Submit(startTime.Add(110*time.Millisecond), prefill)
 	}
 	const took = 60 * time.Millisecond
-	b.Ended(startTime.Add(160*time.Millisecond), short.Owner, short.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: 18})
+	b.Release(startTime.Add(160*time.Millisecond), short.Owner, short.ID, board.SlotResult{Outcome: board.Answered, StreamTime: took, Tokens: 18})
 	require.InDelta(t, 1, b.Speeds()[0].Slowness, 0.1)
 }
--- a/internal/sched/board/pace.go
+++ b/internal/sched/board/pace.go
@@ -27,7 +27,7 @@
 	refusedBefore bool
 }
 
-func rankOf(req *Ask) rank { return rank{req.Service, req.Tier, req.refusedBefore} }
+func rankOf(req *SlotRequest) rank { return rank{req.Service, req.Tier, req.refusedBefore} }
 
 // grantRate is an exponentially decaying count of slots granted to waiting requests of a
 // rank.
@@ -51,7 +51,7 @@
 }
 
 // recordQueueGrant counts a slot granted to a waiting request.
-func (s *Board) recordQueueGrant(now time.Time, req *Ask) {
+func (s *Scheduler) recordQueueGrant(now time.Time, req *SlotRequest) {
 	rate := s.grantRates[rankOf(req)]
 	if rate == nil {
 		rate = &grantRate{}
@@ -64,8 +64,8 @@
 // requests of its rank are granted slots, those ahead of it take longer than its slack. An
 // immediate refusal saves the caller a wait of three quarters of its first-event target,
 // and lets it retry that much earlier.
-func (s *Board) queueTooLong(now time.Time, req *Ask, slack time.Duration) bool {
-	if req.Again || s.saturatedFor(now) < saturationThreshold {
+func (s *Scheduler) queueTooLong(now time.Time, req *SlotRequest, slack time.Duration) bool {
+	if req.Resent || s.saturatedFor(now) < saturationThreshold {
 		return false
 	}
 	ahead := s.countAhead(req)
@@ -81,10 +81,10 @@
 
 // countAhead returns the number of waiting requests of the same rank whose deadline is no
 // later.
-func (s *Board) countAhead(req *Ask) int {
+func (s *Scheduler) countAhead(req *SlotRequest) int {
 	count := 0
 	for _, other := range s.waiting {
-		if !other.Again && rankOf(other) == rankOf(req) && !other.Due.After(req.Due) {
+		if !other.Resent && rankOf(other) == rankOf(req) && !other.NextEventDue.After(req.NextEventDue) {
 			count++
 		}
 	}
--- a/internal/sched/board/place.go
+++ b/internal/sched/board/place.go
@@ -36,13 +36,13 @@
 // slack returns how much longer the request may wait and still get its first event in time
 // from the fastest available engine, if that is idle. It is negative if no engine can meet
 // the deadline any more.
-func (s *Board) slack(now time.Time, req *Ask) time.Duration {
+func (s *Scheduler) slack(now time.Time, req *SlotRequest) time.Duration {
 	return s.slackOn(now, req, s.fastest(now, req.Service))
 }
 
 // slackOn is slack with the fastest engine of the service already known. Another engine is
 // searched for if the request may not go to that one.
-func (s *Board) slackOn(now time.Time, req *Ask, fastest *engine) time.Duration {
+func (s *Scheduler) slackOn(now time.Time, req *SlotRequest, fastest *engine) time.Duration {
 	if fastest != nil && !req.allows(fastest) {
 		fastest = nil
 		for _, e := range s.byService[req.Service] {
@@ -53,13 +53,13 @@
 	}
 	firstEvent := noEngineLatency
 	if fastest != nil {
-		firstEvent = fastest.idleFirstEvent(req.Prompt)
+		firstEvent = fastest.idleFirstEvent(req.PromptTokens)
 	}
-	return req.Due.Sub(now) - networkMargin - firstEvent
+	return req.NextEventDue.Sub(now) - networkMargin - firstEvent
 }
 
 // fastest returns the fastest available engine of the service, or nil.
-func (s *Board) fastest(now time.Time, service string) *engine {
+func (s *Scheduler) fastest(now time.Time, service string) *engine {
 	var fastest *engine
 	for _, e := range s.byService[service] {
 		if !now.Before(e.backoffUntil) && e.faster(fastest) {
@@ -74,7 +74,7 @@
 }
 
 // tryGrant assigns the request to the cheapest suitable engine, if there is one.
-func (s *Board) tryGrant(now time.Time, req *Ask, late bool) bool {
+func (s *Scheduler) tryGrant(now time.Time, req *SlotRequest, late bool) bool {
 	var best *engine
 	bestCost := 0.0
 	baseline := s.baselineFailureRate(now, req.Service)
@@ -105,7 +105,7 @@
 
 // baselineFailureRate returns the failure rate with which the engines of a service are
 // compared.
-func (s *Board) baselineFailureRate(now time.Time, service string) float64 {
+func (s *Scheduler) baselineFailureRate(now time.Time, service string) float64 {
 	baseline := s.baselines[service]
 	if age := now.Sub(baseline.at); !baseline.at.IsZero() && age >= 0 && age < baselineMaxAge {
 		return baseline.rate
@@ -132,7 +132,7 @@
 
 // cost returns the cost of assigning the request to the engine, and whether the engine is
 // suitable at all. The engine with the lowest cost is chosen.
-func (s *Board) cost(now time.Time, e *engine, req *Ask, late bool, baseline float64) (float64, bool) {
+func (s *Scheduler) cost(now time.Time, e *engine, req *SlotRequest, late bool, baseline float64) (float64, bool) {
 	running := e.running(now)
 	slots := e.Slots
 	if late {
@@ -144,15 +144,15 @@
 	if e.failureRate.At(now) > baseline+failureMargin {
 		return 0, false
 	}
-	firstEvent := e.firstEvent(now, req.Prompt)
-	available := req.Due.Sub(now) - networkMargin
+	firstEvent := e.firstEvent(now, req.PromptTokens)
+	available := req.NextEventDue.Sub(now) - networkMargin
 	if late {
-		available = req.Until.Sub(now) / 2
+		available = req.Deadline.Sub(now) / 2
 	}
 	if firstEvent > available {
 		return 0, false
 	}
-	gap := profile.EventGapMs(max(1, e.EventTokens), running+1, e.prefillBacklog+req.Prompt, e.timing.prefillFactor) * e.slowness.factor
+	gap := profile.EventGapMs(max(1, e.EventTokens), running+1, e.prefillBacklog+req.PromptTokens, e.timing.prefillFactor) * e.slowness.factor
 	if running > 0 && req.MaxGap > 0 && gap > maxGapShare*ms(req.MaxGap) {
 		return 0, false
 	}
@@ -167,9 +167,9 @@
 	return cost, true
 }
 
-func (s *Board) grant(now time.Time, e *engine, req *Ask) {
-	r := &run{owner: req.Owner, id: req.ID, number: req.Number, prompt: req.Prompt, output: req.Output, grantedAt: now}
+func (s *Scheduler) grant(now time.Time, e *engine, req *SlotRequest) {
+	r := &run{owner: req.Owner, id: req.ID, number: req.Number, prompt: req.PromptTokens, output: req.OutputTokens, grantedAt: now}
 	e.assign(now, r)
 	s.addRun(req.Owner, runKey(req.Owner, req.ID), e)
-	s.decide(req, Verdict{Upstream: e.ID})
+	s.decide(req, Decision{Upstream: e.ID})
 }
--- a/internal/sched/board/refusals.go
+++ b/internal/sched/board/refusals.go
@@ -49,17 +49,17 @@
 	}
 }
 
-func (s *Board) refuse(now time.Time, req *Ask, reason string) {
+func (s *Scheduler) refuse(now time.Time, req *SlotRequest, reason string) {
 	s.refusals.add(now, req.Fingerprint)
 	reason = fmt.Sprintf("%s (%d waiting, %d late, %d slots, saturated for %s)",
 		reason, len(s.waiting), len(s.late), s.slots(req.Service), s.saturatedFor(now).Round(time.Millisecond))
-	s.decide(req, Verdict{RetryAfter: s.retryAfter(now), Why: reason})
+	s.decide(req, Decision{RetryAfter: s.retryAfter(now), Reason: reason})
 }
 
 // retryAfter returns when a slot should become free. The remaining duration of an overload
 // is unknown; the best estimate is the time it has lasted so far. Jitter of up to the same
 // length keeps callers from retrying all at once.
-func (s *Board) retryAfter(now time.Time) time.Duration {
+func (s *Scheduler) retryAfter(now time.Time) time.Duration {
 	base := min(max(s.saturatedFor(now), minRetryAfter), maxRetryAfter)
 	s.jitterState = s.jitterState*6364136223846793005 + 1442695040888963407
 	return base + time.Duration(float64(base)*float64(s.jitterState>>40)/(1<<24))
@@ -67,7 +67,7 @@
 
 // saturatedFor returns for how long requests that can be served in time have been waiting
 // without a break.
-func (s *Board) saturatedFor(now time.Time) time.Duration {
+func (s *Scheduler) saturatedFor(now time.Time) time.Duration {
 	if s.saturatedSince.IsZero() {
 		return 0
 	}
@@ -75,7 +75,7 @@
 }
 
 // updateSaturation sets or clears saturatedSince.
-func (s *Board) updateSaturation(now time.Time) {
+func (s *Scheduler) updateSaturation(now time.Time) {
 	switch {
 	case len(s.waiting) == 0:
 		s.saturatedSince = time.Time{}
--- a/internal/sched/board/return_test.go
+++ b/internal/sched/board/return_test.go
@@ -16,23 +16,23 @@
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 2))
 	for i := range 2 {
-		b.Ask(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
+		b.Submit(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
 	}
-	require.Equal(t, 2, countGranted(b.Verdicts()))
+	require.Equal(t, 2, countGranted(b.Decisions()))
 
 	b.SetUpstreams(startTime.Add(100*time.Millisecond), nil)
 	later := startTime.Add(200 * time.Millisecond)
 	b.SetUpstreams(later, newEngines(1, 2))
 	// The gateway reports that it still holds both slots.
 	b.Reconcile(later, "gateway", []board.HeldSlot{
-		{ID: "old0", Upstream: "e0", Prompt: 1000, Output: 100, Started: true},
-		{ID: "old1", Upstream: "e0", Prompt: 1000, Output: 100, Started: true},
+		{ID: "old0", Upstream: "e0", PromptTokens: 1000, OutputTokens: 100, Started: true},
+		{ID: "old1", Upstream: "e0", PromptTokens: 1000, OutputTokens: 100, Started: true},
 	})
-	b.Ask(later, newSlotRequest(later, "gateway", "new"))
-	require.Zero(t, countGranted(b.Verdicts()))
+	b.Submit(later, newSlotRequest(later, "gateway", "new"))
+	require.Zero(t, countGranted(b.Decisions()))
 
-	b.Ended(later, "gateway", "old0", board.End{Outcome: board.Answered})
-	require.Equal(t, 1, countGranted(b.Verdicts()))
+	b.Release(later, "gateway", "old0", board.SlotResult{Outcome: board.Answered})
+	require.Equal(t, 1, countGranted(b.Decisions()))
 }
 
 // Guards against slots that stay in use permanently when their gateway goes down while the
@@ -40,12 +40,12 @@
 func TestRunsOfADroppedGatewayEndOnARelistedEngine(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 1))
-	b.Ask(startTime, newSlotRequest(startTime, "gone", "old"))
+	b.Submit(startTime, newSlotRequest(startTime, "gone", "old"))
 	b.SetUpstreams(startTime, nil)
 	b.DropOwner(startTime, "gone")
 	b.SetUpstreams(startTime, newEngines(1, 1))
-	b.Verdicts()
+	b.Decisions()
 
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "new"))
-	require.Equal(t, 1, countGranted(b.Verdicts()))
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "new"))
+	require.Equal(t, 1, countGranted(b.Decisions()))
 }
--- a/internal/sched/board/speeds.go
+++ b/internal/sched/board/speeds.go
@@ -17,7 +17,7 @@
 func (s Speed) valid() bool { return s.Slowness >= minSlowness && s.Slowness <= maxSlowness }
 
 // Speeds returns the learned engine speeds, sorted by ID.
-func (s *Board) Speeds() []Speed {
+func (s *Scheduler) Speeds() []Speed {
 	var speeds []Speed
 	for _, e := range s.engines {
 		if e.slowness.known() {
@@ -28,11 +28,11 @@
 	return speeds
 }
 
-// Recall applies engine speeds learned by another scheduler. Without them, a new scheduler
+// RestoreSpeeds applies engine speeds learned by another scheduler. Without them, a new scheduler
 // takes all engines for ordinary ones, and assigns streams to engines a third as fast that
 // cannot end them before the caller's deadline. Speeds that this scheduler has learned
 // itself take precedence.
-func (s *Board) Recall(speeds []Speed) {
+func (s *Scheduler) RestoreSpeeds(speeds []Speed) {
 	s.restoredSpeeds = make(map[string]Speed, len(speeds))
 	for _, speed := range speeds {
 		s.restoredSpeeds[speed.ID] = speed
@@ -43,7 +43,7 @@
 }
 
 // applyRestoredSpeed sets the restored speed of an engine whose speed is unknown.
-func (s *Board) applyRestoredSpeed(e *engine) {
+func (s *Scheduler) applyRestoredSpeed(e *engine) {
 	if speed, ok := s.restoredSpeeds[e.ID]; ok && !e.slowness.known() {
 		e.restoreSpeed(speed)
 	}
--- a/internal/sched/board/speeds_test.go
+++ b/internal/sched/board/speeds_test.go
@@ -15,23 +15,23 @@
 // engines are idle.
 func TestNextSchedulerUsesLearnedSpeeds(t *testing.T) {
 	long := newSlotRequest(startTime, "gateway", "long")
-	long.Output = 1200
+	long.OutputTokens = 1200
 	previous := board.New()
 	previous.SetUpstreams(startTime, newEngines(2, 12))
 	learnSlowness(previous, "e0", 2.8)
 	learnSlowness(previous, "e1", 0.55)
 
 	next := board.New()
-	next.Recall(previous.Speeds())
+	next.RestoreSpeeds(previous.Speeds())
 	next.SetUpstreams(startTime, newEngines(2, 12))
-	next.Ask(startTime, long)
-	require.Equal(t, "e1", next.Verdicts()[0].Upstream)
+	next.Submit(startTime, long)
+	require.Equal(t, "e1", next.Decisions()[0].Upstream)
 }
 
 // The speed of an engine does not apply to another one that replaces it under the same ID.
 func TestSpeedIsDiscardedWhenEngineIsReplaced(t *testing.T) {
 	b := board.New()
-	b.Recall([]board.Speed{{ID: "e0", Born: 1, Slowness: 2.8}})
+	b.RestoreSpeeds([]board.Speed{{ID: "e0", Born: 1, Slowness: 2.8}})
 	replaced := newEngines(1, 12)
 	replaced[0].Born = 2
 	b.SetUpstreams(startTime, replaced)
@@ -39,7 +39,7 @@
 }
 
 // learnSlowness makes the scheduler learn the engine's slowness from a stream of 100 tokens.
-func learnSlowness(b *board.Board, engine string, slowness float64) {
+func learnSlowness(b *board.Scheduler, engine string, slowness float64) {
 	a := newSlotRequest(startTime, "learner", engine)
 	for _, other := range []string{"e0", "e1"} {
 		if other != engine {
@@ -48,10 +48,10 @@
 	}
 	const tokens, ordinaryStep = 100, 3.35
 	took := time.Duration(tokens * ordinaryStep * slowness * float64(time.Millisecond))
-	b.Ask(startTime, a)
+	b.Submit(startTime, a)
 	b.Started(startTime.Add(100*time.Millisecond), a.Owner, a.ID, -1)
-	b.Ended(startTime.Add(100*time.Millisecond+took), a.Owner, a.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: tokens})
-	b.Verdicts()
+	b.Release(startTime.Add(100*time.Millisecond+took), a.Owner, a.ID, board.SlotResult{Outcome: board.Answered, StreamTime: took, Tokens: tokens})
+	b.Decisions()
 }
 
 // Guards against a wrong speed after a scheduler change while engines are full. If prompts
@@ -61,22 +61,22 @@
 func TestAdoptedRunsAreNotUsedToLearnSpeed(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 12))
-	b.Recall([]board.Speed{{ID: "e0", Slowness: 0.5}})
+	b.RestoreSpeeds([]board.Speed{{ID: "e0", Slowness: 0.5}})
 	stream := newSlotRequest(startTime, "gateway", "stream")
-	b.Ask(startTime, stream)
+	b.Submit(startTime, stream)
 	b.Started(startTime.Add(100*time.Millisecond), stream.Owner, stream.ID, -1)
 
 	var held []board.HeldSlot
 	for i := range 8 {
-		held = append(held, board.HeldSlot{ID: "held" + strconv.Itoa(i), Upstream: "e0", Prompt: 6600, Output: 300, Started: true})
+		held = append(held, board.HeldSlot{ID: "held" + strconv.Itoa(i), Upstream: "e0", PromptTokens: 6600, OutputTokens: 300, Started: true})
 	}
 	b.Reconcile(startTime.Add(200*time.Millisecond), "other", held)
 	const tokens, step = 100, 3.27 + 0.0823*9
 	took := time.Duration(tokens * step * 0.5 * float64(time.Millisecond))
 	end := startTime.Add(100*time.Millisecond + took)
-	b.Ended(end, stream.Owner, stream.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: tokens})
+	b.Release(end, stream.Owner, stream.ID, board.SlotResult{Outcome: board.Answered, StreamTime: took, Tokens: tokens})
 	for _, h := range held {
-		b.Ended(end, "other", h.ID, board.End{Outcome: board.Answered, Stream: took, Tokens: tokens})
+		b.Release(end, "other", h.ID, board.SlotResult{Outcome: board.Answered, StreamTime: took, Tokens: tokens})
 	}
 
 	require.InDelta(t, 0.5, b.Speeds()[0].Slowness, 0.05)
--- a/internal/sched/board/stalled_test.go
+++ b/internal/sched/board/stalled_test.go
@@ -15,15 +15,15 @@
 func TestEngineThatServesOthersIsNotStalled(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 12))
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "hangs"))
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "served"))
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "hangs"))
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "served"))
 	later := startTime.Add(900 * time.Millisecond)
 	b.Started(later, "gateway", "served", -1)
-	b.Verdicts()
+	b.Decisions()
 
-	b.Ask(later, newSlotRequest(later, "gateway", "new"))
+	b.Submit(later, newSlotRequest(later, "gateway", "new"))
 
-	require.Equal(t, 1, countGranted(b.Verdicts()))
+	require.Equal(t, 1, countGranted(b.Decisions()))
 }
 
 // An engine that keeps its connections but sends nothing gets no more requests, which
@@ -31,13 +31,13 @@
 func TestEngineThatStartsNothingIsSkipped(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(2, 12))
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "first"))
-	stalled := b.Verdicts()[0].Upstream
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "first"))
+	stalled := b.Decisions()[0].Upstream
 	later := startTime.Add(900 * time.Millisecond)
 	for _, id := range []string{"a", "b", "c", "d"} {
-		b.Ask(later, newSlotRequest(later, "gateway", id))
+		b.Submit(later, newSlotRequest(later, "gateway", id))
 	}
-	for _, v := range b.Verdicts() {
+	for _, v := range b.Decisions() {
 		require.NotEqual(t, stalled, v.Upstream)
 	}
 }
@@ -47,7 +47,7 @@
 func TestOverdueRequestIsLateWithoutEngines(t *testing.T) {
 	b := board.New()
 	a := newSlotRequest(startTime, "gateway", "a")
-	a.Due = startTime.Add(-time.Second)
-	b.Ask(startTime, a)
+	a.NextEventDue = startTime.Add(-time.Second)
+	b.Submit(startTime, a)
 	require.Zero(t, b.Stats(startTime).Waiting)
 }
--- a/internal/sched/board/stats.go
+++ b/internal/sched/board/stats.go
@@ -29,7 +29,7 @@
 const maxDescribedEngines = 8
 
 // Stats returns a summary at the given time.
-func (s *Board) Stats(now time.Time) Stats {
+func (s *Scheduler) Stats(now time.Time) Stats {
 	stats := Stats{Waiting: len(s.waiting), Late: len(s.late)}
 	var engines []string
 	for _, e := range s.engines {
--- a/internal/sched/board/sync.go
+++ b/internal/sched/board/sync.go
@@ -8,10 +8,10 @@
 
 // HeldSlot is a slot that a gateway holds.
 type HeldSlot struct {
-	ID, Upstream   string
-	Number         uint64
-	Prompt, Output int
-	Started        bool
+	ID, Upstream               string
+	Number                     uint64
+	PromptTokens, OutputTokens int
+	Started                    bool
 }
 
 // Reconcile compares the runs of a gateway with all slots that it holds. A scheduler
@@ -19,7 +19,7 @@
 // that granted it. Here the slot would stay in use permanently, and the engine would look
 // stalled because no one reports the first event. Runs that the gateway does not hold are
 // removed, and slots granted by another scheduler are added.
-func (s *Board) Reconcile(now time.Time, owner string, held []HeldSlot) {
+func (s *Scheduler) Reconcile(now time.Time, owner string, held []HeldSlot) {
 	holds := make(map[string]bool, len(held))
 	for _, h := range held {
 		holds[runKey(owner, h.ID)] = true
@@ -41,7 +41,7 @@
 	}
 }
 
-func (s *Board) addHeld(now time.Time, owner string, h HeldSlot) {
+func (s *Scheduler) addHeld(now time.Time, owner string, h HeldSlot) {
 	k := runKey(owner, h.ID)
 	e := s.engines[h.Upstream]
 	if other := s.byRun[k]; other != nil {
@@ -59,7 +59,7 @@
 	if e == nil {
 		return
 	}
-	r := &run{owner: owner, id: h.ID, number: h.Number, prompt: h.Prompt, output: h.Output, grantedAt: now, adopted: true}
+	r := &run{owner: owner, id: h.ID, number: h.Number, prompt: h.PromptTokens, output: h.OutputTokens, grantedAt: now, adopted: true}
 	s.addRun(owner, k, e)
 	if h.Started {
 		e.adopt(now, r)
--- a/internal/sched/board/sync_test.go
+++ b/internal/sched/board/sync_test.go
@@ -20,14 +20,14 @@
 	return all
 }
 
-func newSlotRequest(now time.Time, owner, id string) board.Ask {
-	return board.Ask{
-		Owner: owner, ID: id, Service: "tutor", Domain: "a", Due: now.Add(600 * time.Millisecond),
-		Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100, MaxGap: 250 * time.Millisecond,
+func newSlotRequest(now time.Time, owner, id string) board.SlotRequest {
+	return board.SlotRequest{
+		Owner: owner, ID: id, Service: "tutor", Domain: "a", NextEventDue: now.Add(600 * time.Millisecond),
+		Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100, MaxGap: 250 * time.Millisecond,
 	}
 }
 
-func countGranted(decisions []board.Verdict) int {
+func countGranted(decisions []board.Decision) int {
 	n := 0
 	for _, v := range decisions {
 		if v.Upstream != "" {
@@ -46,15 +46,15 @@
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(3, 12))
 	for i := range 9 {
-		b.Ask(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
+		b.Submit(startTime, newSlotRequest(startTime, "gateway", "old"+strconv.Itoa(i)))
 	}
-	require.Equal(t, 9, countGranted(b.Verdicts()))
+	require.Equal(t, 9, countGranted(b.Decisions()))
 
 	later := startTime.Add(5 * time.Second)
 	b.Reconcile(later, "gateway", nil)
-	b.Ask(later, newSlotRequest(later, "gateway", "new"))
+	b.Submit(later, newSlotRequest(later, "gateway", "new"))
 
-	require.Equal(t, 1, countGranted(b.Verdicts()))
+	require.Equal(t, 1, countGranted(b.Decisions()))
 }
 
 // A slot granted a moment ago is missing from a list that its gateway sent before it
@@ -63,11 +63,11 @@
 func TestFreshGrantSurvivesAnOlderReport(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 1))
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "first"))
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "first"))
 	b.Reconcile(startTime.Add(10*time.Millisecond), "gateway", nil)
-	b.Ask(startTime.Add(20*time.Millisecond), newSlotRequest(startTime, "gateway", "second"))
+	b.Submit(startTime.Add(20*time.Millisecond), newSlotRequest(startTime, "gateway", "second"))
 
-	require.Equal(t, 1, countGranted(b.Verdicts()))
+	require.Equal(t, 1, countGranted(b.Decisions()))
 }
 
 // A new scheduler does not know the slots granted by the previous one until the gateways
@@ -75,10 +75,10 @@
 func TestSlotsGrantedByAnotherSchedulerCount(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 1))
-	b.Reconcile(startTime, "gateway", []board.HeldSlot{{ID: "first", Upstream: "e0", Prompt: 1000, Output: 100, Started: true}})
-	b.Ask(startTime, newSlotRequest(startTime, "other", "second"))
+	b.Reconcile(startTime, "gateway", []board.HeldSlot{{ID: "first", Upstream: "e0", PromptTokens: 1000, OutputTokens: 100, Started: true}})
+	b.Submit(startTime, newSlotRequest(startTime, "other", "second"))
 
-	require.Zero(t, countGranted(b.Verdicts()))
+	require.Zero(t, countGranted(b.Decisions()))
 }
 
 // A request that its gateway submits again has lost its former slot, even if the release
@@ -86,8 +86,8 @@
 func TestRepeatedSlotRequestReleasesFormerSlot(t *testing.T) {
 	b := board.New()
 	b.SetUpstreams(startTime, newEngines(1, 1))
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "same"))
-	b.Ask(startTime, newSlotRequest(startTime, "gateway", "same"))
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "same"))
+	b.Submit(startTime, newSlotRequest(startTime, "gateway", "same"))
 
-	require.Equal(t, 2, countGranted(b.Verdicts()))
+	require.Equal(t, 2, countGranted(b.Decisions()))
 }
--- a/internal/sched/granter/granter.go
+++ b/internal/sched/granter/granter.go
@@ -22,11 +22,11 @@
 // Granter is a scheduler that is safe for concurrent use.
 type Granter struct {
 	now     func() time.Time
-	deliver func(board.Verdict)
+	deliver func(board.Decision)
 	logger  *slog.Logger
 
 	mu         sync.Mutex
-	scheduler  *board.Board
+	scheduler  *board.Scheduler
 	wake       chan struct{}
 	dropTimers map[string]*time.Timer
 	// loggedAt is when the scheduler was last logged.
@@ -35,13 +35,13 @@
 
 // New returns a granter with an empty scheduler. It calls deliver with each decision,
 // without holding a lock.
-func New(now func() time.Time, deliver func(board.Verdict), logger *slog.Logger) *Granter {
+func New(now func() time.Time, deliver func(board.Decision), logger *slog.Logger) *Granter {
 	return &Granter{now: now, deliver: deliver, logger: logger, scheduler: board.New(), wake: make(chan struct{}, 1), dropTimers: make(map[string]*time.Timer)}
 }
 
 // Run ticks the scheduler while requests wait, until the context ends.
 func (g *Granter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(board.TickEvery)
+	ticker := time.NewTicker(board.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -62,7 +62,7 @@
 func (g *Granter) tick() bool {
 	waiting := false
 	var stats *board.Stats
-	g.update(func(s *board.Board, now time.Time) {
+	g.update(func(s *board.Scheduler, now time.Time) {
 		s.Tick(now)
 		waiting = s.Waiting()
 		if now.Sub(g.loggedAt) >= logInterval {
@@ -80,10 +80,10 @@
 }
 
 // update changes the scheduler and delivers the resulting decisions.
-func (g *Granter) update(change func(s *board.Board, now time.Time)) {
+func (g *Granter) update(change func(s *board.Scheduler, now time.Time)) {
 	g.mu.Lock()
 	change(g.scheduler, g.now())
-	decisions := g.scheduler.Verdicts()
+	decisions := g.scheduler.Decisions()
 	waiting := g.scheduler.Waiting()
 	g.mu.Unlock()
 	if waiting {
@@ -99,54 +99,54 @@
 
 // SetUpstreams replaces the list of engines that may be assigned requests.
 func (g *Granter) SetUpstreams(upstreams []board.Upstream) {
-	g.update(func(s *board.Board, now time.Time) { s.SetUpstreams(now, upstreams) })
+	g.update(func(s *board.Scheduler, now time.Time) { s.SetUpstreams(now, upstreams) })
 }
 
-// SetReach sets how many of the known gateways this one hears.
-func (g *Granter) SetReach(heard, known int) {
-	g.update(func(s *board.Board, now time.Time) { s.SetReach(now, heard, known) })
+// SetReachableGateways sets how many of the known gateways this one hears.
+func (g *Granter) SetReachableGateways(heard, known int) {
+	g.update(func(s *board.Scheduler, now time.Time) { s.SetReachableGateways(now, heard, known) })
 }
 
-// Recall applies engine speeds learned by another scheduler.
-func (g *Granter) Recall(speeds []board.Speed) {
+// RestoreSpeeds applies engine speeds learned by another scheduler.
+func (g *Granter) RestoreSpeeds(speeds []board.Speed) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.scheduler.Recall(speeds)
+	g.scheduler.RestoreSpeeds(speeds)
 }
 
-// Memory returns what the scheduler has learned.
-func (g *Granter) Memory() board.Memory {
+// LearnedState returns what the scheduler has learned.
+func (g *Granter) LearnedState() board.LearnedState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.scheduler.Memory()
+	return g.scheduler.LearnedState()
 }
 
-// Take applies what the active scheduler has learned.
-func (g *Granter) Take(m board.Memory) {
+// ApplyLearned applies what the active scheduler has learned.
+func (g *Granter) ApplyLearned(m board.LearnedState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.scheduler.Take(m)
+	g.scheduler.ApplyLearned(m)
 }
 
-// Ask grants a slot to the request, queues the request or refuses it.
-func (g *Granter) Ask(a board.Ask) {
-	g.update(func(s *board.Board, now time.Time) { s.Ask(now, a) })
+// Submit grants a slot to the request, queues the request or refuses it.
+func (g *Granter) Submit(a board.SlotRequest) {
+	g.update(func(s *board.Scheduler, now time.Time) { s.Submit(now, a) })
 }
 
 // Reconcile compares the runs of a gateway with all slots that it holds.
 func (g *Granter) Reconcile(owner string, held []board.HeldSlot) {
-	g.update(func(s *board.Board, now time.Time) { s.Reconcile(now, owner, held) })
+	g.update(func(s *board.Scheduler, now time.Time) { s.Reconcile(now, owner, held) })
 }
 
 // Started records the first event of a run, and the number of requests that its engine
 // reported, or -1 if it reported none.
 func (g *Granter) Started(owner, id string, reported int) {
-	g.update(func(s *board.Board, now time.Time) { s.Started(now, owner, id, reported) })
+	g.update(func(s *board.Scheduler, now time.Time) { s.Started(now, owner, id, reported) })
 }
 
-// Ended ends the use of a slot, or withdraws a waiting request.
-func (g *Granter) Ended(owner, id string, end board.End) {
-	g.update(func(s *board.Board, now time.Time) { s.Ended(now, owner, id, end) })
+// Release ends the use of a slot, or withdraws a waiting request.
+func (g *Granter) Release(owner, id string, end board.SlotResult) {
+	g.update(func(s *board.Scheduler, now time.Time) { s.Release(now, owner, id, end) })
 }
 
 // OwnerDown drops a gateway's requests and slots after a grace period, unless OwnerUp is
@@ -159,7 +159,7 @@
 	}
 	var timer *time.Timer
 	timer = time.AfterFunc(ownerGracePeriod, func() {
-		g.update(func(s *board.Board, now time.Time) {
+		g.update(func(s *board.Scheduler, now time.Time) {
 			// A timer that has fired cannot be stopped.
 			if g.dropTimers[owner] != timer {
 				return
--- a/internal/sched/granter/granter_test.go
+++ b/internal/sched/granter/granter_test.go
@@ -18,12 +18,12 @@
 	*granter.Granter
 
 	mu        sync.Mutex
-	decisions []board.Verdict
+	decisions []board.Decision
 }
 
 func newRecorder() *recorder {
 	r := &recorder{}
-	r.Granter = granter.New(time.Now, func(v board.Verdict) {
+	r.Granter = granter.New(time.Now, func(v board.Decision) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.decisions = append(r.decisions, v)
@@ -35,9 +35,9 @@
 // grantedAtOnce asks for a slot and reports whether it was granted immediately.
 func (r *recorder) grantedAtOnce(owner, id string) bool {
 	now := time.Now()
-	r.Ask(board.Ask{
-		Owner: owner, ID: id, Service: "tutor", Domain: "a", Due: now.Add(600 * time.Millisecond),
-		Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100,
+	r.Submit(board.SlotRequest{
+		Owner: owner, ID: id, Service: "tutor", Domain: "a", NextEventDue: now.Add(600 * time.Millisecond),
+		Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 	})
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +61,7 @@
 			kept := !r.grantedAtOnce("other", "second")
 			bubble.Pass(time.Millisecond)
 			if kept {
-				r.Ended("other", "second", board.End{Outcome: board.Left})
+				r.Release("other", "second", board.SlotResult{Outcome: board.Canceled})
 				require.False(t, r.grantedAtOnce("other", "third"), "the slot was released after its gateway was heard again")
 			}
 		})
--- a/internal/sched/local/absent_test.go
+++ b/internal/sched/local/absent_test.go
@@ -40,7 +40,7 @@
 					return []roster.Upstream{{ID: "u", Service: "bookings", Slots: 6, State: roster.Ready}}
 				}
 				chooser := local.New("a", ready, func() int { return 1 })
-				pick := func() (flow.Place, error) {
+				pick := func() (flow.Placement, error) {
 					now := time.Now()
 					ctx, cancel := context.WithTimeout(t.Context(), c.deadline)
 					defer cancel()
@@ -49,7 +49,7 @@
 				for time.Now().Before(goneAt) {
 					place, err := pick()
 					require.NoError(t, err)
-					place.Done(time.Now(), flow.Answered, 0)
+					place.Release(time.Now(), flow.Answered, 0)
 					<-time.After(10 * time.Millisecond)
 				}
 				<-time.After(c.later)
@@ -60,7 +60,7 @@
 					require.NoError(t, err)
 					return
 				}
-				require.True(t, errorx.IsOfType(err, flow.NoPlace))
+				require.True(t, errorx.IsOfType(err, flow.NoPlacement))
 			})
 		})
 	}
--- a/internal/sched/local/local.go
+++ b/internal/sched/local/local.go
@@ -90,7 +90,7 @@
 
 // Pick implements flow.Picker. It waits only if all upstreams of the service have just
 // disappeared.
-func (c *Chooser) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Place, error) {
+func (c *Chooser) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Placement, error) {
 	upstreams := c.readyUpstreams(req.Service)
 	for ; len(upstreams) == 0 && ctx.Err() == nil && now.Before(c.waitDeadline(req)); now = now.Add(absencePollInterval) {
 		wait.For(ctx, absencePollInterval)
@@ -106,11 +106,11 @@
 		best, found = c.cheapest(now, upstreams, req, true)
 	}
 	if !found {
-		return nil, flow.RefusePlace(noUpstreamRetryAfter, "no upstream of the service is left to try")
+		return nil, flow.RefusePlacement(noUpstreamRetryAfter, "no upstream of the service is left to try")
 	}
 	state := c.state(best.ID)
 	if c.full(state, best) {
-		return nil, flow.RefusePlace(fullRetryAfter, "all upstreams of the service are full")
+		return nil, flow.RefusePlacement(fullRetryAfter, "all upstreams of the service are full")
 	}
 	state.running++
 	return &place{chooser: c, upstream: best}, nil
@@ -137,7 +137,7 @@
 }
 
 // Hold counts a request at an upstream that was chosen elsewhere.
-func (c *Chooser) Hold(u roster.Upstream) flow.Place {
+func (c *Chooser) Hold(u roster.Upstream) flow.Placement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(u.ID).running++
@@ -202,19 +202,19 @@
 // Upstream implements flow.Place.
 func (p *place) Upstream() roster.Upstream { return p.upstream }
 
-// Load implements flow.Place.
-func (p *place) Load(now time.Time, load exchange.Load) {
+// ReportLoad implements flow.Place.
+func (p *place) ReportLoad(now time.Time, load exchange.Load) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
 	state := p.chooser.state(p.upstream.ID)
 	state.load, state.loadAt, state.ownRunningAtLoad = load, now, state.running
 }
 
-// Started implements flow.Place.
-func (p *place) Started(time.Time) {}
+// AnswerStarted implements flow.Place.
+func (p *place) AnswerStarted(time.Time) {}
 
-// Done implements flow.Place.
-func (p *place) Done(now time.Time, o flow.Outcome, _ int) {
+// Release implements flow.Place.
+func (p *place) Release(now time.Time, o flow.Outcome, _ int) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
 	state := p.chooser.state(p.upstream.ID)
@@ -233,6 +233,6 @@
 	case flow.Unreachable:
 		state.failuresInRow++
 		state.backoffUntil = now.Add(min(maxBackoff, minBackoff<<min(state.failuresInRow-1, 4)))
-	case flow.Left:
+	case flow.Canceled:
 	}
 }
--- a/internal/sched/permit/moments_test.go
+++ b/internal/sched/permit/moments_test.go
@@ -65,7 +65,7 @@
 	toGateway := &link{random: rand.New(rand.NewPCG(seed, 1)), ordered: ordered}
 	var client *permit.Client
 	var otherGrants atomic.Int64
-	scheduler := granter.New(time.Now, func(v board.Verdict) {
+	scheduler := granter.New(time.Now, func(v board.Decision) {
 		if v.Owner != "gateway" {
 			if v.Upstream != "" {
 				otherGrants.Add(1)
@@ -97,13 +97,13 @@
 		client.TellHeld(time.Now())
 		bubble.Pass(time.Second)
 		later := time.Now()
-		scheduler.Ask(board.Ask{
-			Owner: "other", ID: fmt.Sprintf("other-%d", i), Service: "tutor", Domain: "a", Due: later.Add(600 * time.Millisecond),
-			Until: later.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		scheduler.Submit(board.SlotRequest{
+			Owner: "other", ID: fmt.Sprintf("other-%d", i), Service: "tutor", Domain: "a", NextEventDue: later.Add(600 * time.Millisecond),
+			Deadline: later.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.Zero(t, otherGrants.Load(), "seed %d, request %d: the engine has one slot, and it is in use", seed, i)
-		scheduler.Ended("other", fmt.Sprintf("other-%d", i), board.End{Outcome: board.Left})
-		place.Done(time.Now(), flow.Answered, 0)
+		scheduler.Release("other", fmt.Sprintf("other-%d", i), board.SlotResult{Outcome: board.Canceled})
+		place.Release(time.Now(), flow.Answered, 0)
 		bubble.Pass(time.Second)
 	}
 }
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -36,7 +36,7 @@
 type Local interface {
 	flow.Picker
 	// Hold counts a request at an upstream that was chosen elsewhere.
-	Hold(u roster.Upstream) flow.Place
+	Hold(u roster.Upstream) flow.Placement
 }
 
 // Parts are the dependencies of a Client.
@@ -47,14 +47,14 @@
 	Scheduler func(now time.Time) string
 	// Send queues a message to a gateway.
 	Send func(node string, e *wire.Envelope) bool
-	// Own handles messages to the scheduler if that is this gateway itself.
-	Own      func(now time.Time, e *wire.Envelope)
-	Local    Local
-	Upstream func(id string) (roster.Upstream, bool)
-	Service  func(name string) *catalog.Service
-	Metrics  Metrics
-	Logger   *slog.Logger
-	Now      func() time.Time
+	// DeliverLocally handles messages to the scheduler if that is this gateway itself.
+	DeliverLocally func(now time.Time, e *wire.Envelope)
+	Local          Local
+	Upstream       func(id string) (roster.Upstream, bool)
+	Service        func(name string) *catalog.Service
+	Metrics        Metrics
+	Logger         *slog.Logger
+	Now            func() time.Time
 }
 
 // Metrics records the results of slot requests.
@@ -119,7 +119,7 @@
 }
 
 // Pick implements flow.Picker.
-func (c *Client) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Place, error) {
+func (c *Client) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Placement, error) {
 	service := c.Service(req.Service)
 	if service == nil || service.Engine == nil {
 		return c.Local.Pick(ctx, now, req)
@@ -131,7 +131,7 @@
 		}
 		d, ok := c.requestSlot(ctx, scheduler, req)
 		if ctx.Err() != nil {
-			return nil, flow.RefusePlace(0, "the caller left or the deadline passed")
+			return nil, flow.RefusePlacement(0, "the caller left or the deadline passed")
 		}
 		if d.timedOut {
 			break
@@ -140,13 +140,13 @@
 			continue
 		}
 		if d.upstream == "" {
-			return nil, flow.RefusePlace(d.retryAfter, "no slot: %s", d.reason)
+			return nil, flow.RefusePlacement(d.retryAfter, "no slot: %s", d.reason)
 		}
 		if u, known := c.Upstream(d.upstream); known && u.State == roster.Ready {
 			return c.hold(c.Local.Hold(u), req, d.number), nil
 		}
 		// The scheduler does not know yet that the upstream is gone or leaving.
-		c.notify(endedMessage(req.ID, d.number, board.End{Outcome: board.Unreached}))
+		c.notify(endedMessage(req.ID, d.number, board.SlotResult{Outcome: board.Unreachable}))
 		req.ExcludedUpstreams = append(append([]string(nil), req.ExcludedUpstreams...), d.upstream)
 	}
 	return c.pickLocally(ctx, req)
@@ -156,11 +156,11 @@
 // one, so that the scheduler learns of it. A stream that must end in time gets none: it
 // might wait in the queue of a full engine, and only the scheduler knows which engines are
 // full.
-func (c *Client) pickLocally(ctx context.Context, req flow.PlacementRequest) (flow.Place, error) {
+func (c *Client) pickLocally(ctx context.Context, req flow.PlacementRequest) (flow.Placement, error) {
 	c.Logger.Debug("choosing without the scheduler", "id", req.ID)
 	now := c.Now()
 	if req.EndConstraint == flow.EndRequired {
-		return nil, flow.RefusePlace(0, "gateway stops before the stream could complete")
+		return nil, flow.RefusePlacement(0, "gateway stops before the stream could complete")
 	}
 	chosen, err := c.Local.Pick(ctx, now, req)
 	if err != nil {
@@ -193,7 +193,7 @@
 	d, ok := c.await(ctx, p, req)
 	c.Metrics.Placed(d.result(ok), c.Now().Sub(askedAt))
 	if !ok || d.timedOut {
-		c.sendTo(scheduler, endedMessage(req.ID, p.number, board.End{Outcome: board.Left}))
+		c.sendTo(scheduler, endedMessage(req.ID, p.number, board.SlotResult{Outcome: board.Canceled}))
 	}
 	d.number = p.number
 	return d, ok
@@ -237,7 +237,7 @@
 
 func (c *Client) sendTo(node string, e *wire.Envelope) bool {
 	if node == c.Node {
-		c.Own(c.Now(), e)
+		c.DeliverLocally(c.Now(), e)
 		return true
 	}
 	return c.Send(node, e)
@@ -259,7 +259,7 @@
 	c.mu.Unlock()
 	if p == nil || p.number != v.Number {
 		if v.Upstream != "" {
-			c.notify(endedMessage(v.Id, v.Number, board.End{Outcome: board.Left}))
+			c.notify(endedMessage(v.Id, v.Number, board.SlotResult{Outcome: board.Canceled}))
 		}
 		return
 	}
@@ -318,7 +318,7 @@
 // TellEvery is the interval between reports of held slots.
 const TellEvery = time.Second
 
-func (c *Client) hold(local flow.Place, req flow.PlacementRequest, number uint64) flow.Place {
+func (c *Client) hold(local flow.Placement, req flow.PlacementRequest, number uint64) flow.Placement {
 	p := &place{client: c, local: local, upstream: local.Upstream(), request: req, number: number}
 	c.mu.Lock()
 	c.places[p] = struct{}{}
@@ -329,7 +329,7 @@
 // place is a slot on an engine.
 type place struct {
 	client   *Client
-	local    flow.Place
+	local    flow.Placement
 	upstream roster.Upstream
 	request  flow.PlacementRequest
 	number   uint64
@@ -342,16 +342,16 @@
 // Upstream implements flow.Place.
 func (p *place) Upstream() roster.Upstream { return p.upstream }
 
-// Load implements flow.Place.
-func (p *place) Load(now time.Time, load exchange.Load) {
-	p.local.Load(now, load)
+// ReportLoad implements flow.Place.
+func (p *place) ReportLoad(now time.Time, load exchange.Load) {
+	p.local.ReportLoad(now, load)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.load = &load
 }
 
-// Started implements flow.Place.
-func (p *place) Started(now time.Time) {
+// AnswerStarted implements flow.Place.
+func (p *place) AnswerStarted(now time.Time) {
 	message := &wire.PlaceStarted{Id: p.request.ID}
 	p.mu.Lock()
 	p.startedAt = now
@@ -359,13 +359,13 @@
 		message.LoadKnown, message.Running, message.Waiting = true, uint32(p.load.Running), uint32(p.load.Waiting)
 	}
 	p.mu.Unlock()
-	p.local.Started(now)
+	p.local.AnswerStarted(now)
 	p.client.notify(&wire.Envelope{Body: &wire.Envelope_PlaceStarted{PlaceStarted: message}})
 }
 
-// Done implements flow.Place.
-func (p *place) Done(now time.Time, o flow.Outcome, tokens int) {
-	p.local.Done(now, o, tokens)
+// Release implements flow.Place.
+func (p *place) Release(now time.Time, o flow.Outcome, tokens int) {
+	p.local.Release(now, o, tokens)
 	p.client.mu.Lock()
 	delete(p.client.places, p)
 	p.client.mu.Unlock()
@@ -375,7 +375,7 @@
 		stream = now.Sub(p.startedAt)
 	}
 	p.mu.Unlock()
-	p.client.notify(endedMessage(p.request.ID, p.number, board.End{Outcome: boardOutcome(o), Stream: stream, Tokens: tokens}))
+	p.client.notify(endedMessage(p.request.ID, p.number, board.SlotResult{Outcome: boardOutcome(o), StreamTime: stream, Tokens: tokens}))
 }
 
 func (p *place) heldMessage() *wire.PlaceHeld {
@@ -387,10 +387,10 @@
 	}
 }
 
-func endedMessage(id string, number uint64, end board.End) *wire.Envelope {
+func endedMessage(id string, number uint64, end board.SlotResult) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_PlaceEnded{PlaceEnded: &wire.PlaceEnded{
 		Id: id, Number: number, Outcome: uint32(end.Outcome),
-		StreamUs: uint64(end.Stream.Microseconds()), Tokens: uint32(end.Tokens),
+		StreamUs: uint64(end.StreamTime.Microseconds()), Tokens: uint32(end.Tokens),
 	}}}
 }
 
@@ -401,11 +401,11 @@
 	case flow.Declined:
 		return board.Declined
 	case flow.Unreachable:
-		return board.Unreached
-	case flow.Left:
-		return board.Left
+		return board.Unreachable
+	case flow.Canceled:
+		return board.Canceled
 	case flow.Interrupted:
-		return board.Broken
+		return board.Interrupted
 	case flow.Failed:
 	}
 	return board.Failed
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -24,18 +24,18 @@
 // fixedPicker always picks the same engine.
 type fixedPicker struct{}
 
-func (fixedPicker) Pick(context.Context, time.Time, flow.PlacementRequest) (flow.Place, error) {
+func (fixedPicker) Pick(context.Context, time.Time, flow.PlacementRequest) (flow.Placement, error) {
 	return fixedPlace{}, nil
 }
-func (fixedPicker) Hold(roster.Upstream) flow.Place { return fixedPlace{} }
+func (fixedPicker) Hold(roster.Upstream) flow.Placement { return fixedPlace{} }
 
 // fixedPlace is a slot on the engine.
 type fixedPlace struct{}
 
-func (fixedPlace) Upstream() roster.Upstream         { return engine }
-func (fixedPlace) Load(time.Time, exchange.Load)     {}
-func (fixedPlace) Started(time.Time)                 {}
-func (fixedPlace) Done(time.Time, flow.Outcome, int) {}
+func (fixedPlace) Upstream() roster.Upstream            { return engine }
+func (fixedPlace) ReportLoad(time.Time, exchange.Load)  {}
+func (fixedPlace) AnswerStarted(time.Time)              {}
+func (fixedPlace) Release(time.Time, flow.Outcome, int) {}
 
 // noMetrics discards all metrics.
 type noMetrics struct{}
@@ -50,7 +50,7 @@
 		const latency = 60 * time.Millisecond
 		var client *permit.Client
 		granted := make(map[string]int)
-		scheduler := granter.New(time.Now, func(v board.Verdict) {
+		scheduler := granter.New(time.Now, func(v board.Decision) {
 			if v.Upstream != "" {
 				granted[v.Owner]++
 			}
@@ -81,13 +81,13 @@
 		client.TellHeld(time.Now())
 		bubble.Pass(4 * latency)
 		later := time.Now()
-		scheduler.Ask(board.Ask{
-			Owner: "other", ID: "two", Service: "tutor", Domain: "a", Due: later.Add(600 * time.Millisecond),
-			Until: later.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		scheduler.Submit(board.SlotRequest{
+			Owner: "other", ID: "two", Service: "tutor", Domain: "a", NextEventDue: later.Add(600 * time.Millisecond),
+			Deadline: later.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.Equal(t, 1, granted["gateway"])
 		require.Zero(t, granted["other"], "the engine has one slot, and it is in use")
-		place.Done(later, flow.Answered, 0)
+		place.Release(later, flow.Answered, 0)
 		bubble.Pass(2 * latency)
 	})
 }
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -14,7 +14,7 @@
 func Serve(now time.Time, g *granter.Granter, owner string, e *wire.Envelope) bool {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceAsk:
-		g.Ask(decodeSlotRequest(now, owner, body.PlaceAsk))
+		g.Submit(decodeSlotRequest(now, owner, body.PlaceAsk))
 	case *wire.Envelope_PlaceStarted:
 		reported := -1
 		if body.PlaceStarted.LoadKnown {
@@ -22,7 +22,7 @@
 		}
 		g.Started(owner, body.PlaceStarted.Id, reported)
 	case *wire.Envelope_PlaceEnded:
-		g.Ended(owner, body.PlaceEnded.Id, decodeResult(body.PlaceEnded))
+		g.Release(owner, body.PlaceEnded.Id, decodeResult(body.PlaceEnded))
 	case *wire.Envelope_PlacesHeld:
 		g.Reconcile(owner, decodeHeldSlots(body.PlacesHeld))
 	default:
@@ -31,25 +31,25 @@
 	return true
 }
 
-func decodeSlotRequest(now time.Time, owner string, a *wire.PlaceAsk) board.Ask {
-	return board.Ask{
+func decodeSlotRequest(now time.Time, owner string, a *wire.PlaceAsk) board.SlotRequest {
+	return board.SlotRequest{
 		Owner: owner, ID: a.Id, Number: a.Number, Service: a.Service, Domain: a.Domain, Tier: int(a.Tier),
-		Due:    now.Add(time.Duration(a.DueMs) * time.Millisecond),
-		Until:  now.Add(time.Duration(a.UntilMs) * time.Millisecond),
-		Prompt: int(a.Prompt), Output: int(a.Output), Ending: decodeEnding(a.End), MaxGap: time.Duration(a.MaxGapMs) * time.Millisecond,
-		Exclude: a.Exclude, Again: a.Again, Fingerprint: a.Fingerprint,
-		Only: a.OnlyVersion, Not: a.NotVersion,
+		NextEventDue: now.Add(time.Duration(a.DueMs) * time.Millisecond),
+		Deadline:     now.Add(time.Duration(a.UntilMs) * time.Millisecond),
+		PromptTokens: int(a.Prompt), OutputTokens: int(a.Output), EndConstraint: decodeEnding(a.End), MaxGap: time.Duration(a.MaxGapMs) * time.Millisecond,
+		Exclude: a.Exclude, Resent: a.Again, Fingerprint: a.Fingerprint,
+		RequiredVersion: a.OnlyVersion, ExcludedVersion: a.NotVersion,
 	}
 }
 
-func decodeEnding(e wire.PlaceAsk_End) board.Ending {
+func decodeEnding(e wire.PlaceAsk_End) board.EndConstraint {
 	switch e {
 	case wire.PlaceAsk_LIKELY:
-		return board.EndLikely
+		return board.EndPreferred
 	case wire.PlaceAsk_SURE:
-		return board.EndSure
+		return board.EndRequired
 	}
-	return board.EndOpen
+	return board.EndUnconstrained
 }
 
 func endingMessage(e flow.EndConstraint) wire.PlaceAsk_End {
@@ -67,21 +67,21 @@
 	held := make([]board.HeldSlot, 0, len(h.Places))
 	for _, p := range h.Places {
 		held = append(held, board.HeldSlot{
-			ID: p.Id, Number: p.Number, Upstream: p.Upstream, Prompt: int(p.Prompt), Output: int(p.Output), Started: p.Started,
+			ID: p.Id, Number: p.Number, Upstream: p.Upstream, PromptTokens: int(p.Prompt), OutputTokens: int(p.Output), Started: p.Started,
 		})
 	}
 	return held
 }
 
-func decodeResult(e *wire.PlaceEnded) board.End {
-	return board.End{
-		Outcome: board.Outcome(e.Outcome), Number: e.Number, Stream: time.Duration(e.StreamUs) * time.Microsecond, Tokens: int(e.Tokens),
+func decodeResult(e *wire.PlaceEnded) board.SlotResult {
+	return board.SlotResult{
+		Outcome: board.Outcome(e.Outcome), Number: e.Number, StreamTime: time.Duration(e.StreamUs) * time.Microsecond, Tokens: int(e.Tokens),
 	}
 }
 
 // VerdictMessage returns the message that carries a decision to the gateway that asked.
-func VerdictMessage(v board.Verdict) *wire.Envelope {
+func VerdictMessage(v board.Decision) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_PlaceVerdict{PlaceVerdict: &wire.PlaceVerdict{
-		Id: v.ID, Number: v.Number, Upstream: v.Upstream, RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), Why: v.Why, Waiting: v.Waiting,
+		Id: v.ID, Number: v.Number, Upstream: v.Upstream, RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), Why: v.Reason, Waiting: v.Waiting,
 	}}}
 }
--- a/internal/trial/pattern/play.go
+++ b/internal/trial/pattern/play.go
@@ -120,7 +120,7 @@
 func (s *simulation) tick(now time.Time) {
 	s.policy.tick(now)
 	if now.Before(startTime.Add(s.pattern.Duration + 5*time.Second)) {
-		s.schedule(now.Add(board.TickEvery), s.tick)
+		s.schedule(now.Add(board.TickInterval), s.tick)
 	}
 }
 
--- a/internal/trial/pattern/policy.go
+++ b/internal/trial/pattern/policy.go
@@ -12,7 +12,7 @@
 // boardPolicy places requests with the board of the gateway's scheduler.
 type boardPolicy struct {
 	simulation *simulation
-	board      *board.Board
+	board      *board.Scheduler
 	requests   map[string]*request
 	engines    map[string]*engine
 	startedAt  map[string]time.Time
@@ -36,16 +36,16 @@
 func (b *boardPolicy) arrive(now time.Time, r *request) {
 	b.requests[r.id] = r
 	r.submittedAt = now
-	b.board.Ask(now, board.Ask{
-		Owner: gatewayName, ID: r.id, Service: "tutor", Tier: r.class.tier, Due: now.Add(r.class.firstEventTarget),
+	b.board.Submit(now, board.SlotRequest{
+		Owner: gatewayName, ID: r.id, Service: "tutor", Tier: r.class.tier, NextEventDue: now.Add(r.class.firstEventTarget),
 		Fingerprint: r.fingerprint(),
-		Until:       r.arrivedAt.Add(r.class.timeout), Prompt: r.prompt, Output: r.outputEstimate, MaxGap: r.class.maxGap,
+		Deadline:    r.arrivedAt.Add(r.class.timeout), PromptTokens: r.prompt, OutputTokens: r.outputEstimate, MaxGap: r.class.maxGap,
 	})
 	b.applyVerdicts(now)
 }
 
 func (b *boardPolicy) applyVerdicts(now time.Time) {
-	for verdicts := b.board.Verdicts(); len(verdicts) > 0; verdicts = b.board.Verdicts() {
+	for verdicts := b.board.Decisions(); len(verdicts) > 0; verdicts = b.board.Decisions() {
 		for _, v := range verdicts {
 			r := b.requests[v.ID]
 			if v.Waiting {
@@ -56,7 +56,7 @@
 				continue
 			}
 			if !b.simulation.dispatch(now, b.engines[v.Upstream], r) {
-				b.board.Ended(now, gatewayName, r.id, board.End{Outcome: board.Unreached})
+				b.board.Release(now, gatewayName, r.id, board.SlotResult{Outcome: board.Unreachable})
 				b.arrive(now, r)
 			}
 		}
@@ -78,19 +78,19 @@
 
 func (b *boardPolicy) ended(now time.Time, _ *engine, r *request) {
 	events := 1 + r.output/tokensPerEvent
-	b.board.Ended(now, gatewayName, r.id, board.End{
-		Outcome: board.Answered, Stream: now.Sub(b.startedAt[r.id]), Tokens: (events - 1) * tokensPerEvent,
+	b.board.Release(now, gatewayName, r.id, board.SlotResult{
+		Outcome: board.Answered, StreamTime: now.Sub(b.startedAt[r.id]), Tokens: (events - 1) * tokensPerEvent,
 	})
 	b.applyVerdicts(now)
 }
 
 func (b *boardPolicy) lost(now time.Time, _ *engine, r *request) {
-	b.board.Ended(now, gatewayName, r.id, board.End{Outcome: board.Broken})
+	b.board.Release(now, gatewayName, r.id, board.SlotResult{Outcome: board.Interrupted})
 	b.applyVerdicts(now)
 }
 
 func (b *boardPolicy) failed(now time.Time, _ *engine, r *request) {
-	b.board.Ended(now, gatewayName, r.id, board.End{Outcome: board.Failed})
+	b.board.Release(now, gatewayName, r.id, board.SlotResult{Outcome: board.Failed})
 	b.applyVerdicts(now)
 }
 
--- a/internal/version/rollout/picker.go
+++ b/internal/version/rollout/picker.go
@@ -57,7 +57,7 @@
 }
 
 // Pick implements flow.Picker.
-func (p *Picker) Pick(ctx context.Context, now time.Time, a flow.PlacementRequest) (flow.Place, error) {
+func (p *Picker) Pick(ctx context.Context, now time.Time, a flow.PlacementRequest) (flow.Placement, error) {
 	state, moving := p.State(a.Service)
 	if !moving {
 		return p.next.Pick(ctx, now, a)
@@ -78,12 +78,12 @@
 	if err != nil || state.Phase != Running {
 		return place, err
 	}
-	return &countedPlace{Place: place, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
+	return &countedPlace{Placement: place, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
 }
 
 // countedPlace is a flow.Place whose outcome is counted for a move.
 type countedPlace struct {
-	flow.Place
+	flow.Placement
 	picker   *Picker
 	service  string
 	route    string
@@ -94,27 +94,29 @@
 	startedAt time.Time
 }
 
-// Load implements flow.Place.
-func (p *countedPlace) Load(now time.Time, load exchange.Load) { p.Place.Load(now, load) }
+// ReportLoad implements flow.Place.
+func (p *countedPlace) ReportLoad(now time.Time, load exchange.Load) {
+	p.Placement.ReportLoad(now, load)
+}
 
 // Upstream implements flow.Place.
-func (p *countedPlace) Upstream() roster.Upstream { return p.Place.Upstream() }
+func (p *countedPlace) Upstream() roster.Upstream { return p.Placement.Upstream() }
 
-// Started implements flow.Place.
-func (p *countedPlace) Started(now time.Time) {
+// AnswerStarted implements flow.Place.
+func (p *countedPlace) AnswerStarted(now time.Time) {
 	p.mu.Lock()
 	if p.startedAt.IsZero() {
 		p.startedAt = now
 	}
 	p.mu.Unlock()
-	p.Place.Started(now)
+	p.Placement.AnswerStarted(now)
 }
 
-// Done implements flow.Place. Requests that callers canceled or that did not run
+// Release implements flow.Place. Requests that callers canceled or that did not run
 // say nothing about a version; neither do answers that broke off, since crashes and
 // cut connections affect every version.
-func (p *countedPlace) Done(now time.Time, outcome flow.Outcome, tokens int) {
-	p.Place.Done(now, outcome, tokens)
+func (p *countedPlace) Release(now time.Time, outcome flow.Outcome, tokens int) {
+	p.Placement.Release(now, outcome, tokens)
 	failed := outcome == flow.Failed
 	if !failed && outcome != flow.Answered {
 		return
