--- a/cmd/persimmonridge/measure_patterns.go
+++ b/cmd/persimmonridge/measure_patterns.go
@@ -19,8 +19,8 @@
 func (c *patternsCommand) Run() error {
 	policies := []struct {
 		name   string
-		policy pattern.NewPolicy
-	}{{"board", pattern.Board}, {"fewest", pattern.Fewest}}
+		policy pattern.PolicyFactory
+	}{{"board", pattern.Board}, {"fewest", pattern.LeastLoaded}}
 	var seeds []uint64
 	for i := range c.Seeds {
 		seeds = append(seeds, uint64(i+1))
@@ -35,9 +35,9 @@
 			r := pattern.Mean(p, seeds, policy.policy)
 			refused, late, held := 0, 0, time.Duration(0)
 			for _, tier := range r.Tiers {
-				refused, late, held = refused+tier.Refused, late+tier.Late, held+tier.Held
+				refused, late, held = refused+tier.Refused, late+tier.Late, held+tier.WaitBeforeRefusal
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%s\t\n", p.Name, policy.name, r.Worth, r.Worst,
+			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%s\t\n", p.Name, policy.name, r.ValueShare, r.WorstWindowShare,
 				r.Tiers[0].InTimeShare(), r.Tiers[1].InTimeShare(), r.Tiers[2].InTimeShare(), refused, late, held.Round(time.Second))
 		}
 	}
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -197,9 +197,9 @@
 	g.mesh = mesh.New(s.Name, s.LinkAddress, g.runID, parts.Dialer, g.peers, logger, now)
 	g.peers.isHub = g.mesh.IsHub
 	g.granter = granter.New(now, g.peers.deliverVerdict, logger)
-	g.permits = permit.New(permit.Parts{
+	g.permits = permit.New(permit.Dependencies{
 		Node: s.Name, Domain: s.Domain, Scheduler: g.peers.scheduler, Send: g.mesh.Send,
-		DeliverLocally: func(now time.Time, e *wire.Envelope) { permit.Serve(now, g.granter, s.Name, e) },
+		DeliverLocally: func(now time.Time, e *wire.Envelope) { permit.HandleMessage(now, g.granter, s.Name, e) },
 		Local:          local.New(s.Domain, g.roster.Ready, g.peers.gatewayCount), Upstream: g.roster.Get,
 		Service: g.service, Metrics: g.metrics, Logger: logger, Now: now,
 	})
@@ -335,8 +335,8 @@
 
 func (g *Gateway) reportHeldSlots(ctx context.Context) error {
 	for ctx.Err() == nil {
-		g.permits.TellHeld(g.now())
-		wait.For(ctx, permit.TellEvery)
+		g.permits.ReportHeld(g.now())
+		wait.For(ctx, permit.ReportInterval)
 	}
 	return nil
 }
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -214,14 +214,14 @@
 		}
 	}
 	p.requestMissing(now, peer, g)
-	p.permits.Follow(now)
+	p.permits.UpdateScheduler(now)
 }
 
 // HandleMessage implements mesh.Handler.
 func (p *peers) HandleMessage(now time.Time, peer string, e *wire.Envelope) {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceVerdict:
-		p.permits.Verdict(body.PlaceVerdict)
+		p.permits.HandleDecision(body.PlaceVerdict)
 	case *wire.Envelope_MoveReport:
 		p.rolloutController.receiveReport(peer, body.MoveReport)
 	case *wire.Envelope_MoveState:
@@ -242,7 +242,7 @@
 	case *wire.Envelope_Snapshot:
 		p.applySnapshot(now, peer, body.Snapshot)
 	default:
-		permit.Serve(now, p.granter, peer, e)
+		permit.HandleMessage(now, p.granter, peer, e)
 	}
 }
 
@@ -253,8 +253,8 @@
 	p.schedulerCachedAt = time.Time{}
 	p.mu.Unlock()
 	p.granter.OwnerDown(peer)
-	p.permits.Down(peer)
-	p.permits.Follow(now)
+	p.permits.GatewayDown(peer)
+	p.permits.UpdateScheduler(now)
 }
 
 // scheduler returns the gateway that grants engine slots as this one sees it: the one
@@ -338,9 +338,9 @@
 
 // deliverVerdict sends a scheduling decision to the gateway that requested the slot.
 func (p *peers) deliverVerdict(verdict board.Decision) {
-	message := permit.VerdictMessage(verdict)
+	message := permit.DecisionMessage(verdict)
 	if verdict.Owner == p.settings.Name {
-		p.permits.Verdict(message.GetPlaceVerdict())
+		p.permits.HandleDecision(message.GetPlaceVerdict())
 		return
 	}
 	p.mesh.Send(verdict.Owner, message)
--- a/internal/role/gateway/rollouts.go
+++ b/internal/role/gateway/rollouts.go
@@ -134,7 +134,7 @@
 	for ctx.Err() == nil {
 		now := c.now()
 		scheduler := c.peers.scheduler(now)
-		for service, report := range c.versionPicker.Entries() {
+		for service, report := range c.versionPicker.Reports() {
 			c.sendReport(scheduler, service, report)
 		}
 		if scheduler == c.settings.Name {
@@ -173,7 +173,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if judge := c.judges[service]; judge != nil {
-		judge.Hear(node, report)
+		judge.AddReport(node, report)
 	}
 }
 
--- a/internal/sched/board/engine.go
+++ b/internal/sched/board/engine.go
@@ -155,20 +155,20 @@
 // firstEvent returns the estimated time to the first event of a prompt sent now.
 func (e *engine) firstEvent(now time.Time, prompt int) time.Duration {
 	running := e.running(now)
-	step := fromMs(profile.StepTime(running+1) * e.slowness.factor)
+	step := fromMs(profile.StepMs(running+1) * e.slowness.factor)
 	return e.timing.fixedLatency + e.prefillWait(now) + e.prefillTime(profile.PrefillMs(prompt, running)) + step
 }
 
 // idleFirstEvent returns the time to the first event of a prompt on the idle engine.
 func (e *engine) idleFirstEvent(prompt int) time.Duration {
-	step := fromMs(profile.StepTime(1) * e.slowness.factor)
+	step := fromMs(profile.StepMs(1) * e.slowness.factor)
 	return e.timing.fixedLatency + e.prefillTime(profile.PrefillMs(prompt, 1)) + step
 }
 
 // decodeTime returns how long the engine takes to generate the tokens when all slots are
 // in use.
 func (e *engine) decodeTime(tokens float64) time.Duration {
-	return fromMs(tokens * profile.StepTime(e.Slots) * e.slowness.factor)
+	return fromMs(tokens * profile.StepMs(e.Slots) * e.slowness.factor)
 }
 
 // assign adds a run whose prompt is not prefilled yet.
--- a/internal/sched/board/learned.go
+++ b/internal/sched/board/learned.go
@@ -73,7 +73,7 @@
 }
 
 func newServiceTiming() *serviceTiming {
-	return &serviceTiming{prefillFactor: 1, fixedLatency: profile.Fixed}
+	return &serviceTiming{prefillFactor: 1, fixedLatency: profile.FixedLatency}
 }
 
 // observe takes the deviation of a first event from its expected time. The larger the
@@ -110,7 +110,7 @@
 		return
 	}
 	prefill := e.prefillTime(r.prefillMs)
-	step := fromMs(profile.StepTime(len(e.runs)) * e.slowness.factor)
+	step := fromMs(profile.StepMs(len(e.runs)) * e.slowness.factor)
 	deviation := now.Sub(r.grantedAt) - e.timing.fixedLatency - step - prefill
 	e.timing.observe(deviation, prefill, r.prefillMs/(r.prefillMs+halfWeightPrefillMs))
 }
--- a/internal/sched/permit/ending_test.go
+++ b/internal/sched/permit/ending_test.go
@@ -26,7 +26,7 @@
 // where it waits until it is cut off. Only the scheduler knows which engines are full.
 func TestStreamThatMustEndIsRefusedWithoutScheduler(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		c := permit.New(permit.Parts{
+		c := permit.New(permit.Dependencies{
 			Node: "gateway", Domain: "a", Scheduler: otherScheduler, Send: discardMessage, Local: fixedPicker{}, Upstream: noUpstream,
 			Service: engineService, Metrics: noMetrics{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 		})
--- a/internal/sched/permit/moments_test.go
+++ b/internal/sched/permit/moments_test.go
@@ -72,13 +72,13 @@
 			}
 			return
 		}
-		time.AfterFunc(toGateway.delay(time.Now()), func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
+		time.AfterFunc(toGateway.delay(time.Now()), func() { client.HandleDecision(permit.DecisionMessage(v).GetPlaceVerdict()) })
 	}, slog.New(slog.DiscardHandler))
 	scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
-	client = permit.New(permit.Parts{
+	client = permit.New(permit.Dependencies{
 		Node: "gateway", Domain: "a", Scheduler: func(time.Time) string { return "scheduler" },
 		Send: func(_ string, e *wire.Envelope) bool {
-			time.AfterFunc(toScheduler.delay(time.Now()), func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
+			time.AfterFunc(toScheduler.delay(time.Now()), func() { permit.HandleMessage(time.Now(), scheduler, "gateway", e) })
 			return true
 		},
 		Local: fixedPicker{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
@@ -94,7 +94,7 @@
 			Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.NoError(t, err)
-		client.TellHeld(time.Now())
+		client.ReportHeld(time.Now())
 		bubble.Pass(time.Second)
 		later := time.Now()
 		scheduler.Submit(board.SlotRequest{
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -39,8 +39,8 @@
 	Hold(u roster.Upstream) flow.Placement
 }
 
-// Parts are the dependencies of a Client.
-type Parts struct {
+// Dependencies are the dependencies of a Client.
+type Dependencies struct {
 	// Node is the name of this gateway, Domain its failure domain.
 	Node, Domain string
 	// Scheduler returns the gateway that is the scheduler, or "" if there is none.
@@ -102,7 +102,7 @@
 
 // Client implements flow.Picker.
 type Client struct {
-	Parts
+	Dependencies
 
 	mu            sync.Mutex
 	pending       map[string]*pendingRequest
@@ -114,8 +114,8 @@
 }
 
 // New returns a client with the given dependencies.
-func New(parts Parts) *Client {
-	return &Client{Parts: parts, pending: make(map[string]*pendingRequest), places: make(map[*place]struct{})}
+func New(parts Dependencies) *Client {
+	return &Client{Dependencies: parts, pending: make(map[string]*pendingRequest), places: make(map[*place]struct{})}
 }
 
 // Pick implements flow.Picker.
@@ -250,10 +250,10 @@
 	}
 }
 
-// Verdict passes a scheduler's decision to the request that waits for it. A slot granted
+// HandleDecision passes a scheduler's decision to the request that waits for it. A slot granted
 // after its slot request was abandoned is released by its number, because the request may
 // have another slot by then.
-func (c *Client) Verdict(v *wire.PlaceVerdict) {
+func (c *Client) HandleDecision(v *wire.PlaceVerdict) {
 	c.mu.Lock()
 	p := c.pending[v.Id]
 	c.mu.Unlock()
@@ -269,8 +269,8 @@
 	}
 }
 
-// Down handles the loss of a gateway. Its pending slot requests go to another scheduler.
-func (c *Client) Down(node string) {
+// GatewayDown handles the loss of a gateway. Its pending slot requests go to another scheduler.
+func (c *Client) GatewayDown(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.pending {
@@ -284,8 +284,8 @@
 	}
 }
 
-// Follow checks for a new scheduler and reports the held slots to it.
-func (c *Client) Follow(now time.Time) {
+// UpdateScheduler checks for a new scheduler and reports the held slots to it.
+func (c *Client) UpdateScheduler(now time.Time) {
 	scheduler := c.Scheduler(now)
 	c.mu.Lock()
 	previous := c.lastScheduler
@@ -295,13 +295,13 @@
 		return
 	}
 	c.Logger.Info("scheduler", "node", scheduler, "before", previous)
-	c.TellHeld(now)
+	c.ReportHeld(now)
 }
 
-// TellHeld reports all held slots to the scheduler. It is repeated regularly because a
+// ReportHeld reports all held slots to the scheduler. It is repeated regularly because a
 // message may be lost, and because a slot granted by a gateway that was the scheduler for
 // a moment would otherwise stay in use there permanently.
-func (c *Client) TellHeld(now time.Time) {
+func (c *Client) ReportHeld(now time.Time) {
 	scheduler := c.Scheduler(now)
 	if scheduler == "" {
 		return
@@ -315,8 +315,8 @@
 	c.sendTo(scheduler, &wire.Envelope{Body: &wire.Envelope_PlacesHeld{PlacesHeld: held}})
 }
 
-// TellEvery is the interval between reports of held slots.
-const TellEvery = time.Second
+// ReportInterval is the interval between reports of held slots.
+const ReportInterval = time.Second
 
 func (c *Client) hold(local flow.Placement, req flow.PlacementRequest, number uint64) flow.Placement {
 	p := &place{client: c, local: local, upstream: local.Upstream(), request: req, number: number}
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -55,14 +55,14 @@
 				granted[v.Owner]++
 			}
 			if v.Owner == "gateway" {
-				time.AfterFunc(latency, func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
+				time.AfterFunc(latency, func() { client.HandleDecision(permit.DecisionMessage(v).GetPlaceVerdict()) })
 			}
 		}, slog.New(slog.DiscardHandler))
 		scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
-		client = permit.New(permit.Parts{
+		client = permit.New(permit.Dependencies{
 			Node: "gateway", Domain: "a", Scheduler: func(time.Time) string { return "scheduler" },
 			Send: func(_ string, e *wire.Envelope) bool {
-				time.AfterFunc(latency, func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
+				time.AfterFunc(latency, func() { permit.HandleMessage(time.Now(), scheduler, "gateway", e) })
 				return true
 			},
 			Local: fixedPicker{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
@@ -78,7 +78,7 @@
 		})
 		require.NoError(t, err)
 		// The scheduler hears of the slot after the slot request was withdrawn.
-		client.TellHeld(time.Now())
+		client.ReportHeld(time.Now())
 		bubble.Pass(4 * latency)
 		later := time.Now()
 		scheduler.Submit(board.SlotRequest{
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -9,9 +9,9 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/granter"
 )
 
-// Serve passes a gateway's message to the scheduler's granter. It reports whether the
+// HandleMessage passes a gateway's message to the scheduler's granter. It reports whether the
 // message was one for the granter.
-func Serve(now time.Time, g *granter.Granter, owner string, e *wire.Envelope) bool {
+func HandleMessage(now time.Time, g *granter.Granter, owner string, e *wire.Envelope) bool {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceAsk:
 		g.Submit(decodeSlotRequest(now, owner, body.PlaceAsk))
@@ -79,8 +79,8 @@
 	}
 }
 
-// VerdictMessage returns the message that carries a decision to the gateway that asked.
-func VerdictMessage(v board.Decision) *wire.Envelope {
+// DecisionMessage returns the message that carries a decision to the gateway that asked.
+func DecisionMessage(v board.Decision) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_PlaceVerdict{PlaceVerdict: &wire.PlaceVerdict{
 		Id: v.ID, Number: v.Number, Upstream: v.Upstream, RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), Why: v.Reason, Waiting: v.Waiting,
 	}}}
--- a/internal/sched/profile/profile.go
+++ b/internal/sched/profile/profile.go
@@ -12,28 +12,28 @@
 	// the time that each running request adds.
 	BaseStepMs   = 3.27
 	StepPerRunMs = 0.0823
-	// PromptPerMs is the number of prompt tokens prefilled per millisecond.
-	PromptPerMs = 125.0
-	// Chunk is the number of prompt tokens prefilled between two decode steps.
-	Chunk = 2048
-	// Quadratic is the extra prefill time, in milliseconds, of a prompt of a thousand
+	// PrefillTokensPerMs is the number of prompt tokens prefilled per millisecond.
+	PrefillTokensPerMs = 125.0
+	// PrefillChunkTokens is the number of prompt tokens prefilled between two decode steps.
+	PrefillChunkTokens = 2048
+	// PrefillQuadraticMs is the extra prefill time, in milliseconds, of a prompt of a thousand
 	// tokens over the time that is linear in its length. It grows with the square of the
 	// length.
-	Quadratic = 0.13
-	// Fixed is the part of the first-event latency that is the same on fast and slow
+	PrefillQuadraticMs = 0.13
+	// FixedLatency is the part of the first-event latency that is the same on fast and slow
 	// engines. It includes 2 ms of network latency.
-	Fixed = 64 * time.Millisecond
+	FixedLatency = 64 * time.Millisecond
 )
 
-// StepTime returns the duration of a decode step in milliseconds.
-func StepTime(running int) float64 { return BaseStepMs + StepPerRunMs*float64(running) }
+// StepMs returns the duration of a decode step in milliseconds.
+func StepMs(running int) float64 { return BaseStepMs + StepPerRunMs*float64(running) }
 
 // PrefillMs returns the prefill time of a prompt in milliseconds, including the decode
 // steps of running requests between its chunks.
 func PrefillMs(promptTokens, running int) float64 {
 	thousands := float64(promptTokens) / 1000
-	stepsMs := float64(promptTokens) / Chunk * StepTime(running)
-	return float64(promptTokens)/PromptPerMs + Quadratic*thousands*thousands + stepsMs
+	stepsMs := float64(promptTokens) / PrefillChunkTokens * StepMs(running)
+	return float64(promptTokens)/PrefillTokensPerMs + PrefillQuadraticMs*thousands*thousands + stepsMs
 }
 
 // EventGapMs returns the time in milliseconds between two stream events of eventTokens
@@ -41,9 +41,9 @@
 // chunk. prefillFactor is by what factor prefill is slower than the decoding speed
 // suggests.
 func EventGapMs(eventTokens, running, backlogTokens int, prefillFactor float64) float64 {
-	prefilled := min(backlogTokens, eventTokens*Chunk)
-	return float64(eventTokens)*StepTime(running) + prefillFactor*float64(prefilled)/PromptPerMs
+	prefilled := min(backlogTokens, eventTokens*PrefillChunkTokens)
+	return float64(eventTokens)*StepMs(running) + prefillFactor*float64(prefilled)/PrefillTokensPerMs
 }
 
 // DecodeMs returns the time in milliseconds to generate the tokens.
-func DecodeMs(tokens, running int) float64 { return float64(tokens) * StepTime(running) }
+func DecodeMs(tokens, running int) float64 { return float64(tokens) * StepMs(running) }
--- a/internal/trial/pattern/engine.go
+++ b/internal/trial/pattern/engine.go
@@ -55,8 +55,8 @@
 
 // step runs one step and returns its duration and the jobs that finished.
 func (e *engine) step(now time.Time) (time.Duration, []*job) {
-	milliseconds := profile.StepTime(len(e.running)) * e.slowness
-	chunkLeft := profile.Chunk
+	milliseconds := profile.StepMs(len(e.running)) * e.slowness
+	chunkLeft := profile.PrefillChunkTokens
 	for _, j := range e.running {
 		if j.promptLeft == 0 || chunkLeft == 0 {
 			continue
@@ -66,7 +66,7 @@
 		j.promptLeft -= tokens
 		after := float64(j.request.prompt-j.promptLeft) / 1000
 		before := float64(j.request.prompt-j.promptLeft-tokens) / 1000
-		milliseconds += (float64(tokens)/profile.PromptPerMs + profile.Quadratic*(after*after-before*before)) * e.slowness * e.prefillFactor
+		milliseconds += (float64(tokens)/profile.PrefillTokensPerMs + profile.PrefillQuadraticMs*(after*after-before*before)) * e.slowness * e.prefillFactor
 	}
 	duration := time.Duration(milliseconds * float64(time.Millisecond))
 	return duration, e.decode(now.Add(duration))
--- a/internal/trial/pattern/load.go
+++ b/internal/trial/pattern/load.go
@@ -178,7 +178,7 @@
 	if p.Model.Count > 0 {
 		return p.Model
 	}
-	return EngineModel{Count: defaultEngineCount, Slots: defaultSlotCount, PrefillFactor: 1, FirstEventDelay: profile.Fixed}
+	return EngineModel{Count: defaultEngineCount, Slots: defaultSlotCount, PrefillFactor: 1, FirstEventDelay: profile.FixedLatency}
 }
 
 // Patterns are the load patterns on which placement policies are evaluated.
@@ -211,7 +211,7 @@
 		Description: "all engines fail 45% of the requests for some seconds",
 		Duration:    warmUp + duration + time.Second, Scale: load * float64(engines*slots) / (defaultEngineCount * defaultSlotCount),
 		Failures: []FailurePeriod{{At: warmUp, Duration: duration, Share: 0.45}},
-		Model:    EngineModel{Count: engines, Slots: slots, PrefillFactor: 1, FirstEventDelay: profile.Fixed},
+		Model:    EngineModel{Count: engines, Slots: slots, PrefillFactor: 1, FirstEventDelay: profile.FixedLatency},
 	}
 }
 
--- a/internal/trial/pattern/pattern_test.go
+++ b/internal/trial/pattern/pattern_test.go
@@ -14,7 +14,7 @@
 var seeds = []uint64{1, 2}
 
 // simulateMean runs the named pattern with a policy over all seeds.
-func simulateMean(t *testing.T, name string, policy pattern.NewPolicy) pattern.Result {
+func simulateMean(t *testing.T, name string, policy pattern.PolicyFactory) pattern.Result {
 	t.Helper()
 	for _, p := range pattern.Patterns {
 		if p.Name == name {
@@ -29,8 +29,8 @@
 // late answer comes from a bad choice of engine.
 func TestCalm(t *testing.T) {
 	got := simulateMean(t, "calm", pattern.Board)
-	require.GreaterOrEqual(t, got.Worth, 0.98)
-	require.GreaterOrEqual(t, got.Worth, simulateMean(t, "calm", pattern.Fewest).Worth)
+	require.GreaterOrEqual(t, got.ValueShare, 0.98)
+	require.GreaterOrEqual(t, got.ValueShare, simulateMean(t, "calm", pattern.LeastLoaded).ValueShare)
 }
 
 // An evening class starts, and traffic is 1.9 times as high for 4 s, the largest
@@ -38,8 +38,8 @@
 // the engines and are late, also after the burst. In the worst window the board
 // must earn at least twice the value of the baseline.
 func TestBurst(t *testing.T) {
-	got, baseline := simulateMean(t, "burst", pattern.Board), simulateMean(t, "burst", pattern.Fewest)
-	require.GreaterOrEqual(t, got.Worst, 2*baseline.Worst)
+	got, baseline := simulateMean(t, "burst", pattern.Board), simulateMean(t, "burst", pattern.LeastLoaded)
+	require.GreaterOrEqual(t, got.WorstWindowShare, 2*baseline.WorstWindowShare)
 	require.GreaterOrEqual(t, got.Tiers[0].InTimeShare(), 0.97)
 	requireTierOrder(t, got)
 }
@@ -64,8 +64,8 @@
 // requests must be served by the other engines, and the crashed ones must be used
 // again as soon as they are back.
 func TestQuarterOfEnginesCrash(t *testing.T) {
-	got, baseline := simulateMean(t, "quarter-lost", pattern.Board), simulateMean(t, "quarter-lost", pattern.Fewest)
-	require.GreaterOrEqual(t, got.Worth, baseline.Worth+0.02)
+	got, baseline := simulateMean(t, "quarter-lost", pattern.Board), simulateMean(t, "quarter-lost", pattern.LeastLoaded)
+	require.GreaterOrEqual(t, got.ValueShare, baseline.ValueShare+0.02)
 	require.LessOrEqual(t, got.Tiers[0].Refused, got.Tiers[0].Requests/50)
 }
 
@@ -73,7 +73,7 @@
 // prefill of one delays the tokens of eleven other requests beyond the allowed
 // gap, so they must go to fast engines, and never two to a slow one.
 func TestLongPrompts(t *testing.T) {
-	got, baseline := simulateMean(t, "long-prompts", pattern.Board), simulateMean(t, "long-prompts", pattern.Fewest)
+	got, baseline := simulateMean(t, "long-prompts", pattern.Board), simulateMean(t, "long-prompts", pattern.LeastLoaded)
 	require.GreaterOrEqual(t, got.Tiers[0].InTimeShare(), 0.96)
 	require.GreaterOrEqual(t, got.Tiers[0].InTimeShare(), baseline.Tiers[0].InTimeShare()+0.05)
 }
@@ -95,9 +95,9 @@
 // scheduling at all; the board must learn from observed first events to beat the
 // baseline.
 func TestUnfamiliarEngineModel(t *testing.T) {
-	got, baseline := simulateMean(t, "other-engines", pattern.Board), simulateMean(t, "other-engines", pattern.Fewest)
-	require.GreaterOrEqual(t, got.Worst, baseline.Worst)
-	require.GreaterOrEqual(t, got.Worth, baseline.Worth+0.05)
+	got, baseline := simulateMean(t, "other-engines", pattern.Board), simulateMean(t, "other-engines", pattern.LeastLoaded)
+	require.GreaterOrEqual(t, got.WorstWindowShare, baseline.WorstWindowShare)
+	require.GreaterOrEqual(t, got.ValueShare, baseline.ValueShare+0.05)
 }
 
 // Classes start in a whole school: twice the traffic for 10 s. A request that
@@ -109,9 +109,9 @@
 	got := simulateMean(t, "long-burst", pattern.Board)
 	waited := time.Duration(0)
 	for _, tier := range got.Tiers {
-		waited += tier.Held
+		waited += tier.WaitBeforeRefusal
 	}
-	require.GreaterOrEqual(t, got.Worth, 0.86)
+	require.GreaterOrEqual(t, got.ValueShare, 0.86)
 	require.Less(t, waited, 18*time.Minute)
 	requireTierOrder(t, got)
 }
--- a/internal/trial/pattern/play.go
+++ b/internal/trial/pattern/play.go
@@ -77,11 +77,11 @@
 	random       *rand.Rand
 }
 
-// NewPolicy creates the policy of a simulation.
-type NewPolicy func(p *simulation) Policy
+// PolicyFactory creates the policy of a simulation.
+type PolicyFactory func(p *simulation) Policy
 
 // Simulate runs the pattern and returns a summary of its requests.
-func Simulate(p Pattern, seed uint64, policy NewPolicy) Result {
+func Simulate(p Pattern, seed uint64, policy PolicyFactory) Result {
 	random := rand.New(rand.NewPCG(seed, workloadStream))
 	s := &simulation{pattern: p, random: rand.New(rand.NewPCG(seed, failureStream))}
 	model := p.engineModel()
--- a/internal/trial/pattern/policy.go
+++ b/internal/trial/pattern/policy.go
@@ -103,9 +103,9 @@
 // requests, as a plain load balancer does. Engines queue what they cannot run.
 type leastLoaded struct{ simulation *simulation }
 
-// Fewest returns the baseline policy, which forwards to the engine with the
+// LeastLoaded returns the baseline policy, which forwards to the engine with the
 // fewest requests.
-func Fewest(s *simulation) Policy { return &leastLoaded{simulation: s} }
+func LeastLoaded(s *simulation) Policy { return &leastLoaded{simulation: s} }
 
 // leastLoadedRetryAfter is the delay after which refused callers retry.
 const leastLoadedRetryAfter = time.Second
--- a/internal/trial/pattern/result.go
+++ b/internal/trial/pattern/result.go
@@ -8,9 +8,9 @@
 // TierResult counts the outcomes of one tier's requests.
 type TierResult struct {
 	Requests, InTime, Late, Refused, Lost int
-	// Held is the total time that requests waited for a slot before they were
+	// WaitBeforeRefusal is the total time that requests waited for a slot before they were
 	// refused.
-	Held time.Duration
+	WaitBeforeRefusal time.Duration
 	// LargeRequests and LargeServed count the largest tenth by tokens.
 	LargeRequests, LargeServed int
 }
@@ -22,15 +22,15 @@
 type Result struct {
 	Pattern string
 	Tiers   [3]TierResult
-	// Worth is the earned value as a share of what would be earned if all
-	// requests were answered in time; Worst is the share of the worst window.
-	Worth, Worst float64
+	// ValueShare is the earned value as a share of what would be earned if all
+	// requests were answered in time; WorstWindowShare is the share of the worst window.
+	ValueShare, WorstWindowShare float64
 	// WindowShares are the shares of the windows, in order of time.
 	WindowShares []float64
 }
 
 func summarize(p Pattern, requests []*request) Result {
-	result := Result{Pattern: p.Name, Worst: 1}
+	result := Result{Pattern: p.Name, WorstWindowShare: 1}
 	earned, possible := make([]float64, p.Duration/windowLength+1), make([]float64, p.Duration/windowLength+1)
 	largest := largestTenth(requests)
 	for _, r := range requests {
@@ -40,7 +40,7 @@
 		possible[index] += value
 		earned[index] += earnedValue
 		tier.Requests++
-		tier.Held += r.waitBeforeRefusal
+		tier.WaitBeforeRefusal += r.waitBeforeRefusal
 		if largest[r] {
 			tier.LargeRequests++
 			if r.served() {
@@ -63,10 +63,10 @@
 		totalEarned, totalPossible = totalEarned+earned[i], totalPossible+possible[i]
 		if possible[i] > 0 {
 			result.WindowShares = append(result.WindowShares, earned[i]/possible[i])
-			result.Worst = min(result.Worst, earned[i]/possible[i])
+			result.WorstWindowShare = min(result.WorstWindowShare, earned[i]/possible[i])
 		}
 	}
-	result.Worth = totalEarned / totalPossible
+	result.ValueShare = totalEarned / totalPossible
 	return result
 }
 
@@ -95,12 +95,12 @@
 }
 
 // Mean simulates the pattern with each seed. Counts are summed, shares averaged.
-func Mean(p Pattern, seeds []uint64, policy NewPolicy) Result {
+func Mean(p Pattern, seeds []uint64, policy PolicyFactory) Result {
 	mean := Result{Pattern: p.Name}
 	for _, seed := range seeds {
 		result := Simulate(p, seed, policy)
-		mean.Worth += result.Worth / float64(len(seeds))
-		mean.Worst += result.Worst / float64(len(seeds))
+		mean.ValueShare += result.ValueShare / float64(len(seeds))
+		mean.WorstWindowShare += result.WorstWindowShare / float64(len(seeds))
 		for i, tier := range result.Tiers {
 			mean.Tiers[i].add(tier)
 		}
@@ -113,7 +113,7 @@
 	t.InTime += other.InTime
 	t.Late += other.Late
 	t.Refused += other.Refused
-	t.Held += other.Held
+	t.WaitBeforeRefusal += other.WaitBeforeRefusal
 	t.Lost += other.Lost
 	t.LargeRequests += other.LargeRequests
 	t.LargeServed += other.LargeServed
--- a/internal/version/rollout/judge.go
+++ b/internal/version/rollout/judge.go
@@ -42,9 +42,9 @@
 	return &Judge{order: order, reports: make(map[string]Report), watch: evidence.NewWatch(), test: evidence.NewTest(falseAlarmRate, missRate)}
 }
 
-// Hear stores a gateway's report. Counts are totals, so a later report makes up for
+// AddReport stores a gateway's report. Counts are totals, so a later report makes up for
 // a lost one.
-func (j *Judge) Hear(node string, r Report) {
+func (j *Judge) AddReport(node string, r Report) {
 	if r.Order == j.order {
 		j.reports[node] = r
 	}
--- a/internal/version/rollout/picker.go
+++ b/internal/version/rollout/picker.go
@@ -43,8 +43,8 @@
 	return s, ok
 }
 
-// Entries returns the report on each service's running move.
-func (p *Picker) Entries() map[string]Report {
+// Reports returns the report on each service's running move.
+func (p *Picker) Reports() map[string]Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	reports := make(map[string]Report)
@@ -62,7 +62,7 @@
 	if !moving {
 		return p.next.Pick(ctx, now, a)
 	}
-	toTarget := state.Phase == Complete || (state.Phase == Running && state.Chosen(a.Service, a.ID))
+	toTarget := state.Phase == Complete || (state.Phase == Running && state.InTargetShare(a.Service, a.ID))
 	if toTarget {
 		a.RequiredVersion = state.Target
 	} else {
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -114,9 +114,9 @@
 	return f.Verdict() == evidence.BadFailures || f.Verdict() == evidence.BadLatency
 }
 
-// Chosen reports whether a request belongs to the target's share. It depends on the
+// InTargetShare reports whether a request belongs to the target's share. It depends on the
 // request's id, so that all gateways and retries agree.
-func (s State) Chosen(service, request string) bool {
+func (s State) InTargetShare(service, request string) bool {
 	position := float64(xxhash.Sum64String(service+"\n"+s.Target+"\n"+request)>>11) / (1 << 53)
 	return position < s.Share
 }
--- a/internal/version/rollout/rollout_test.go
+++ b/internal/version/rollout/rollout_test.go
@@ -41,7 +41,7 @@
 	badCount := 0
 	for i := 0; i < m.perSecond*20; i++ {
 		at := time.Duration(i) * time.Second / time.Duration(m.perSecond)
-		target := state.Phase == rollout.Complete || (state.Phase == rollout.Running && state.Chosen("s", fmt.Sprint(i)))
+		target := state.Phase == rollout.Complete || (state.Phase == rollout.Running && state.InTargetShare("s", fmt.Sprint(i)))
 		got.total++
 		failed, took := i%250 == 0, 100*time.Millisecond
 		if target {
@@ -75,7 +75,7 @@
 			entries := []rollout.Entry{*sides[true], *sides[false]}
 			entries[0].Buckets = append([]uint32(nil), entries[0].Buckets...)
 			entries[1].Buckets = append([]uint32(nil), entries[1].Buckets...)
-			judge.Hear("gateway", rollout.Report{Order: order.Revision, Entries: entries})
+			judge.AddReport("gateway", rollout.Report{Order: order.Revision, Entries: entries})
 			next, changed := rollout.Step(start.Add(at), order, state, rollout.Observed{Fault: judge.Fault(), Ready: m.ready})
 			if changed && next.Phase != rollout.Running {
 				got.endedAt = at
