--- a/cmd/persimmonridge/gateway.go
+++ b/cmd/persimmonridge/gateway.go
@@ -66,9 +66,9 @@
 	return g.Run(ctx)
 }
 
-// watchSettings reads the settings again on SIGHUP and every settingsEvery,
-// because they also change without a signal. Invalid settings are logged and
-// ignored.
+// watchSettings reads the settings again on SIGHUP and every
+// settingsPollInterval, because they also change without a signal. Invalid
+// settings are logged and ignored.
 func watchSettings(ctx context.Context, reloads <-chan os.Signal, current platform.Node, g *gateway.Gateway, logger *slog.Logger) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
--- a/cmd/persimmonridge/operate_test.go
+++ b/cmd/persimmonridge/operate_test.go
@@ -16,7 +16,7 @@
 	"github.com/persimmonridge/persimmonridge/internal/trial/fleet"
 )
 
-// writeFile writes content to a temporary writeFile and returns its path.
+// writeFile writes content to a temporary file and returns its path.
 func writeFile(t *testing.T, name string, content []byte) string {
 	path := filepath.Join(t.TempDir(), name)
 	require.NoError(t, os.WriteFile(path, content, 0o600))
--- a/internal/edge/exchange/exchange.go
+++ b/internal/edge/exchange/exchange.go
@@ -40,7 +40,7 @@
 
 // HeaderNames holds the names of the headers that are read from an upstream's answer.
 type HeaderNames struct {
-	// RequestID is the request's RequestID, which the upstream echoes.
+	// RequestID is the header with the request's ID, which the upstream echoes.
 	RequestID string
 	// Seal is set in every answer of an upstream that executed the request.
 	Seal string
--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -86,8 +86,8 @@
 	return c
 }
 
-// release keeps a connection whose last answer was read completely. StatedTimeout is
-// the idle timeout that the upstream states, or 0.
+// release keeps a connection whose last answer was read completely. The statedTimeout
+// is the idle timeout that the upstream states, or 0.
 func (p *Pool) release(now time.Time, c *conn, statedTimeout time.Duration) {
 	timeout := defaultIdleTimeout
 	if statedTimeout > 0 {
--- a/internal/edge/flow/ending.go
+++ b/internal/edge/flow/ending.go
@@ -144,7 +144,7 @@
 		"prompt", c.request.PromptTokens, "output", c.request.OutputTokens, "hint", c.request.LengthHint)
 }
 
-// late reports whether the answer missed the route's objective or the limit on
+// late reports whether the answer missed the route's latency target or the limit on
 // gaps between events.
 func (c *call) late(took time.Duration) bool {
 	if c.route.Kind != catalog.Streaming {
--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -39,7 +39,7 @@
 	defaultTimeout = time.Minute
 )
 
-// Dependencies holds the dependencies of a Flow.
+// Dependencies holds the dependencies of a Handler.
 type Dependencies struct {
 	Headers HeaderCodec
 	Client  *exchange.Client
@@ -74,7 +74,7 @@
 // concurrent use.
 type Handler struct{ Dependencies }
 
-// New returns a Flow with the given dependencies.
+// New returns a Handler with the given dependencies.
 func New(parts Dependencies) *Handler { return &Handler{Dependencies: parts} }
 
 // call is the state of one caller's request.
@@ -218,7 +218,7 @@
 }
 
 // nextEventDue returns the time after which the next event of the answer is late.
-// The objective of a request that was sent before has usually passed already. If
+// The latency target of a request that was sent before has usually passed already. If
 // it still applied, the scheduler would refuse to resume a stream whose engine
 // crashed, as too late, although its caller still waits for the rest.
 func (c *call) nextEventDue(now time.Time) time.Time {
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -27,8 +27,8 @@
 	sealHeader = "X-Persimmonridge-Response-Seal"
 )
 
-// fixture is a Flow in front of scripted upstreams. It implements the Flow's
-// dependencies and records what the Flow did.
+// fixture is a Handler in front of scripted upstreams. It implements the Handler's
+// dependencies and records what the Handler did.
 type fixture struct {
 	t         *testing.T
 	server    *httptest.Server
@@ -186,7 +186,7 @@
 	return f.shutdownSince, f.shutdownSince.Add(8 * time.Second), !f.shutdownSince.IsZero()
 }
 
-// retries implements flow.Retries with the fixture's budget.
+// retries implements flow.RetryBudget with the fixture's budget.
 type retries struct{ fixture *fixture }
 
 func (retries) Sent(time.Time, string) {}
--- a/internal/edge/flow/request.go
+++ b/internal/edge/flow/request.go
@@ -24,12 +24,12 @@
 
 var retryAfterProperty = errorx.RegisterProperty("retry-after")
 
-// RefusePlacement returns a NoPlace error with the time after which to retry.
+// RefusePlacement returns a NoPlacement error with the time after which to retry.
 func RefusePlacement(retryAfter time.Duration, message string, args ...any) error {
 	return NoPlacement.New(message, args...).WithProperty(retryAfterProperty, retryAfter)
 }
 
-// RetryAfter returns the retry time of a NoPlace error, or 0 if it has none.
+// RetryAfter returns the retry time of a NoPlacement error, or 0 if it has none.
 func RetryAfter(err error) time.Duration {
 	if e := errorx.Cast(err); e != nil {
 		if value, ok := e.Property(retryAfterProperty); ok {
@@ -77,7 +77,7 @@
 type Attempt struct {
 	UpstreamID string
 	Workspace  string
-	// TimeLeft is the time until the request's deadline.
+	// TimeLeft is the time left until the request's deadline.
 	TimeLeft    time.Duration
 	LastEventID string
 }
@@ -94,7 +94,7 @@
 	Refuse(r Request, retryAfter time.Duration, to http.Header)
 }
 
-// PlacementRequest describes a request that needs a place on an upstream.
+// PlacementRequest describes a request that needs a placement on an upstream.
 type PlacementRequest struct {
 	ID        string
 	Service   string
@@ -103,22 +103,22 @@
 	Tier      int
 	// NextEventDue is when the first event, or the first after a resume, becomes late.
 	NextEventDue time.Time
-	// Deadline is the deadline, after which the answer is of no use.
+	// Deadline is the time after which the answer is of no use.
 	Deadline time.Time
-	// PromptTokens and Output are the tokens of a generation's prompt and answer, and
-	// Parts those parts of the prompt that other requests may share. They are zero
-	// for other requests.
+	// PromptTokens and OutputTokens are the tokens of a generation's prompt and
+	// answer, and PromptParts those parts of the prompt that other requests may
+	// share. They are zero for other requests.
 	PromptTokens int
 	OutputTokens int
 	PromptParts  []PromptPart
-	// EndConstraint states whether Until is the exit of this process.
+	// EndConstraint states whether Deadline is the exit of this process.
 	EndConstraint EndConstraint
 	// ExcludedUpstreams lists the IDs of upstreams that were already tried.
 	ExcludedUpstreams []string
 	// Fingerprint is equal for repeats of a request by the same caller.
 	Fingerprint uint64
-	// RequiredVersion and ExcludedVersion are the required and the excluded version of the upstream; if
-	// empty, there is none.
+	// RequiredVersion and ExcludedVersion are the version that the upstream must and
+	// must not have; if empty, there is none.
 	RequiredVersion, ExcludedVersion string
 	// Resent reports that the request was sent to an upstream before.
 	Resent bool
@@ -160,13 +160,13 @@
 	ReportLoad(now time.Time, load exchange.Load)
 	// AnswerStarted records that the first event or the answer arrived.
 	AnswerStarted(now time.Time)
-	// Release returns the place. Tokens is the number of tokens streamed after the
+	// Release ends the placement. Tokens is the number of tokens streamed after the
 	// first event.
 	Release(now time.Time, o Outcome, tokens int)
 }
 
-// Picker chooses an upstream. It may wait for a free place, and returns a NoPlace
-// error if waiting is not worthwhile.
+// Picker chooses an upstream. It may wait until one has a free slot, and returns a
+// NoPlacement error if waiting is not worthwhile.
 type Picker interface {
 	Pick(ctx context.Context, now time.Time, a PlacementRequest) (Placement, error)
 }
--- a/internal/fleet/mesh/tell.go
+++ b/internal/fleet/mesh/tell.go
@@ -96,8 +96,8 @@
 // AnnounceLeaving tells all peers without delay that this process is shutting down.
 func (m *Mesh) AnnounceLeaving() { m.gossipToAll() }
 
-// AnnounceExit tells all peers that the process exits now, and waits for the message to be
-// sent. Peers that had to detect its silence would send it place requests, and wait
+// AnnounceExit tells all peers that the process exits now, and waits for the message to
+// be sent. Peers that had to detect its silence would send it slot requests, and wait
 // for them, for another half second.
 func (m *Mesh) AnnounceExit() {
 	m.mu.Lock()
--- a/internal/limit/crash/crash.go
+++ b/internal/limit/crash/crash.go
@@ -42,8 +42,8 @@
 	lastExpiry time.Time
 }
 
-// New returns an empty register. OnCrash is called for each crash that is recorded
-// for a fingerprint, so that other processes can be notified; it may be nil.
+// New returns a tracker without crashes. It calls onCrash for each crash that is recorded
+// for a fingerprint, so that other processes can be notified; onCrash may be nil.
 func New(onCrash func(fingerprint uint64, crash string)) *Tracker {
 	return &Tracker{interrupted: make(map[string][]suspectedRequest), crashes: make(map[uint64]map[string]time.Time), onCrash: onCrash}
 }
--- a/internal/limit/quota/ledger.go
+++ b/internal/limit/quota/ledger.go
@@ -45,15 +45,15 @@
 
 // Totals is the usage at all other gateways, as it is sent to one gateway.
 type Totals struct {
-	// LedgerRun identifies the ledger. Totals of different ledgers cannot be compared, as
-	// they count from different times.
+	// LedgerRun identifies the ledger. Totals of different ledgers cannot be compared,
+	// as they count from different times.
 	LedgerRun uint64
-	// OthersUsed is what each workspace used at all other gateways, and Part the
+	// OthersUsed is what each workspace used at all other gateways, and Coverage the
 	// fraction of the known gateways that it covers.
 	OthersUsed map[string]float64
 	Coverage   float64
-	// AllJustStarted reports that all gateways that it covers have just started, and that
-	// Others includes all that they used.
+	// AllJustStarted reports that all gateways that the totals cover have just started,
+	// and that OthersUsed includes all that they used.
 	AllJustStarted bool
 }
 
--- a/internal/limit/quota/quota.go
+++ b/internal/limit/quota/quota.go
@@ -90,8 +90,8 @@
 
 // Options holds the deployment's settings for quotas.
 type Options struct {
-	// StartFull states that nothing was used before, because the whole fleet starts for
-	// the first time.
+	// StartFull states that the buckets start full: nothing was used before, because
+	// the whole fleet starts for the first time.
 	StartFull bool
 	// Slack is by how much all gateways together may exceed a quota that counts
 	// tokens. Each may go into debt by its part of it, so that large requests are
@@ -114,7 +114,7 @@
 	return min(w.QuotaBurst, refilled+restartExcessFraction*allowedExcess)
 }
 
-// New returns a keeper without workspaces. Known returns the number of known
+// New returns a limiter without workspaces. Known returns the number of known
 // gateways.
 func New(options Options, known func() int) *Limiter {
 	return &Limiter{gatewayCount: known, options: options, buckets: make(map[string]*bucket), othersUsed: make(map[string]float64)}
--- a/internal/limit/retry/retry.go
+++ b/internal/limit/retry/retry.go
@@ -25,7 +25,7 @@
 )
 
 // Settings is the limit for the whole fleet: in any Window, the retries to a service
-// must not exceed Share times its requests plus Slack.
+// must not exceed Ratio times its requests plus Slack.
 type Settings struct {
 	Ratio  float64
 	Slack  float64
--- a/internal/sched/board/ask.go
+++ b/internal/sched/board/ask.go
@@ -21,7 +21,7 @@
 	PromptTokens           int
 	// OutputTokens is the estimated number of tokens to generate.
 	OutputTokens int
-	// EndConstraint tells whether the stream is cut off at Until.
+	// EndConstraint tells whether the stream is cut off at Deadline.
 	EndConstraint EndConstraint
 	MaxGap        time.Duration
 	Exclude       []string
@@ -75,8 +75,8 @@
 	Outcome Outcome
 	// Number is the number of the slot request or granted slot. 0 matches any of the request.
 	Number uint64
-	// StreamTime is the time from the first event to the last, and Tokens the number of tokens
-	// generated in that time.
+	// StreamTime is the time from the first event to the last, and Tokens the number of
+	// tokens generated in that time.
 	StreamTime time.Duration
 	Tokens     int
 }
--- a/internal/sched/board/board.go
+++ b/internal/sched/board/board.go
@@ -22,8 +22,8 @@
 	EventTokens int
 }
 
-// Scheduler holds the state of all engines and waiting requests. It is not safe for concurrent
-// use.
+// Scheduler holds the state of all engines and waiting requests. It is not safe for
+// concurrent use.
 type Scheduler struct {
 	engines map[string]*engine
 	// byService holds the engines of each service, sorted by ID.
@@ -119,9 +119,9 @@
 	return timing
 }
 
-// SetReachableGateways sets how many of the known gateways this scheduler hears. The others are down,
-// or they are cut off from this scheduler but not from the engines, and then send requests
-// to the same engines on their own.
+// SetReachableGateways sets how many of the known gateways this scheduler hears. The others
+// are down, or they are cut off from this scheduler but not from the engines, and then send
+// requests to the same engines on their own.
 func (s *Scheduler) SetReachableGateways(now time.Time, heard, known int) {
 	unheardShare := 0.0
 	if known > 0 {
--- a/internal/sched/board/memory.go
+++ b/internal/sched/board/memory.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// LearnedState is what a scheduler has learned and another scheduler would need seconds to learn
-// again.
+// LearnedState is what a scheduler has learned and another scheduler would need seconds
+// to learn again.
 type LearnedState struct {
 	Speeds   []Speed
 	Services []LearnedService
--- a/internal/sched/board/overrun.go
+++ b/internal/sched/board/overrun.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// EndConstraint tells whether a stream is cut off at the time Until of its slot request.
+// EndConstraint tells whether a stream is cut off at the Deadline of its slot request.
 type EndConstraint int
 
 // Ways for a stream to end.
 const (
 	// EndUnconstrained streams go on for as long as the caller waits.
 	EndUnconstrained EndConstraint = iota
-	// EndPreferred streams are cut off at Until and should be complete by then.
+	// EndPreferred streams are cut off at Deadline and should be complete by then.
 	EndPreferred
-	// EndRequired streams are cut off at Until and must be complete by then.
+	// EndRequired streams are cut off at Deadline and must be complete by then.
 	EndRequired
 )
 
@@ -91,9 +91,9 @@
 }
 
 // endsInTime reports whether a stream with the given first-event latency ends before
-// Until, with all slots of the engine in use. For an open-ended stream only the estimated
-// length counts: with a margin, the longest streams would fit on the fastest engines only
-// and were refused while other engines were free.
+// its Deadline, with all slots of the engine in use. For an open-ended stream only the
+// estimated length counts: with a margin, the longest streams would fit on the fastest
+// engines only and were refused while other engines were free.
 func (e *engine) endsInTime(now time.Time, req *SlotRequest, firstEvent time.Duration) bool {
 	remaining := req.Deadline.Sub(now)
 	switch req.EndConstraint {
@@ -107,7 +107,7 @@
 }
 
 // canEndInTime reports whether any engine, if idle, could end a stream that is cut off at
-// Until. If none can, waiting for a slot does not help.
+// its Deadline. If none can, waiting for a slot does not help.
 func (s *Scheduler) canEndInTime(now time.Time, req *SlotRequest) bool {
 	if req.EndConstraint == EndUnconstrained {
 		return true
--- a/internal/sched/board/speeds.go
+++ b/internal/sched/board/speeds.go
@@ -28,10 +28,10 @@
 	return speeds
 }
 
-// RestoreSpeeds applies engine speeds learned by another scheduler. Without them, a new scheduler
-// takes all engines for ordinary ones, and assigns streams to engines a third as fast that
-// cannot end them before the caller's deadline. Speeds that this scheduler has learned
-// itself take precedence.
+// RestoreSpeeds applies engine speeds learned by another scheduler. Without them, a new
+// scheduler takes all engines for ordinary ones, and assigns streams to engines a third as
+// fast that cannot end them before the caller's deadline. Speeds that this scheduler has
+// learned itself take precedence.
 func (s *Scheduler) RestoreSpeeds(speeds []Speed) {
 	s.restoredSpeeds = make(map[string]Speed, len(speeds))
 	for _, speed := range speeds {
--- a/internal/sched/local/local.go
+++ b/internal/sched/local/local.go
@@ -193,16 +193,16 @@
 	return running / float64(u.Slots)
 }
 
-// place is the place of one request at an upstream.
+// place is the placement of one request on an upstream.
 type place struct {
 	chooser  *Chooser
 	upstream roster.Upstream
 }
 
-// Upstream implements flow.Place.
+// Upstream implements flow.Placement.
 func (p *place) Upstream() roster.Upstream { return p.upstream }
 
-// ReportLoad implements flow.Place.
+// ReportLoad implements flow.Placement.
 func (p *place) ReportLoad(now time.Time, load exchange.Load) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
@@ -210,10 +210,10 @@
 	state.load, state.loadAt, state.ownRunningAtLoad = load, now, state.running
 }
 
-// AnswerStarted implements flow.Place.
+// AnswerStarted implements flow.Placement.
 func (p *place) AnswerStarted(time.Time) {}
 
-// Release implements flow.Place.
+// Release implements flow.Placement.
 func (p *place) Release(now time.Time, o flow.Outcome, _ int) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -250,9 +250,9 @@
 	}
 }
 
-// HandleDecision passes a scheduler's decision to the request that waits for it. A slot granted
-// after its slot request was abandoned is released by its number, because the request may
-// have another slot by then.
+// HandleDecision passes a scheduler's decision to the request that waits for it. A slot
+// granted after its slot request was abandoned is released by its number, because the
+// request may have another slot by then.
 func (c *Client) HandleDecision(v *wire.PlaceVerdict) {
 	c.mu.Lock()
 	p := c.pending[v.Id]
@@ -269,7 +269,8 @@
 	}
 }
 
-// GatewayDown handles the loss of a gateway. Its pending slot requests go to another scheduler.
+// GatewayDown handles the loss of a gateway. Its pending slot requests go to another
+// scheduler.
 func (c *Client) GatewayDown(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -339,10 +340,10 @@
 	load      *exchange.Load
 }
 
-// Upstream implements flow.Place.
+// Upstream implements flow.Placement.
 func (p *place) Upstream() roster.Upstream { return p.upstream }
 
-// ReportLoad implements flow.Place.
+// ReportLoad implements flow.Placement.
 func (p *place) ReportLoad(now time.Time, load exchange.Load) {
 	p.local.ReportLoad(now, load)
 	p.mu.Lock()
@@ -350,7 +351,7 @@
 	p.load = &load
 }
 
-// AnswerStarted implements flow.Place.
+// AnswerStarted implements flow.Placement.
 func (p *place) AnswerStarted(now time.Time) {
 	message := &wire.PlaceStarted{Id: p.request.ID}
 	p.mu.Lock()
@@ -363,7 +364,7 @@
 	p.client.notify(&wire.Envelope{Body: &wire.Envelope_PlaceStarted{PlaceStarted: message}})
 }
 
-// Release implements flow.Place.
+// Release implements flow.Placement.
 func (p *place) Release(now time.Time, o flow.Outcome, tokens int) {
 	p.local.Release(now, o, tokens)
 	p.client.mu.Lock()
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -9,8 +9,8 @@
 	"github.com/persimmonridge/persimmonridge/internal/sched/granter"
 )
 
-// HandleMessage passes a gateway's message to the scheduler's granter. It reports whether the
-// message was one for the granter.
+// HandleMessage passes a gateway's message to the scheduler's granter. It reports whether
+// the message was one for the granter.
 func HandleMessage(now time.Time, g *granter.Granter, owner string, e *wire.Envelope) bool {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceAsk:
--- a/internal/sched/profile/profile.go
+++ b/internal/sched/profile/profile.go
@@ -16,9 +16,9 @@
 	PrefillTokensPerMs = 125.0
 	// PrefillChunkTokens is the number of prompt tokens prefilled between two decode steps.
 	PrefillChunkTokens = 2048
-	// PrefillQuadraticMs is the extra prefill time, in milliseconds, of a prompt of a thousand
-	// tokens over the time that is linear in its length. It grows with the square of the
-	// length.
+	// PrefillQuadraticMs is the extra prefill time, in milliseconds, of a prompt of a
+	// thousand tokens over the time that is linear in its length. It grows with the
+	// square of the length.
 	PrefillQuadraticMs = 0.13
 	// FixedLatency is the part of the first-event latency that is the same on fast and slow
 	// engines. It includes 2 ms of network latency.
--- a/internal/version/rollout/picker.go
+++ b/internal/version/rollout/picker.go
@@ -81,7 +81,7 @@
 	return &countedPlace{Placement: place, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
 }
 
-// countedPlace is a flow.Place whose outcome is counted for a move.
+// countedPlace is a flow.Placement whose outcome is counted for a move.
 type countedPlace struct {
 	flow.Placement
 	picker   *Picker
@@ -94,15 +94,15 @@
 	startedAt time.Time
 }
 
-// ReportLoad implements flow.Place.
+// ReportLoad implements flow.Placement.
 func (p *countedPlace) ReportLoad(now time.Time, load exchange.Load) {
 	p.Placement.ReportLoad(now, load)
 }
 
-// Upstream implements flow.Place.
+// Upstream implements flow.Placement.
 func (p *countedPlace) Upstream() roster.Upstream { return p.Placement.Upstream() }
 
-// AnswerStarted implements flow.Place.
+// AnswerStarted implements flow.Placement.
 func (p *countedPlace) AnswerStarted(now time.Time) {
 	p.mu.Lock()
 	if p.startedAt.IsZero() {
@@ -112,7 +112,7 @@
 	p.Placement.AnswerStarted(now)
 }
 
-// Release implements flow.Place. Requests that callers canceled or that did not run
+// Release implements flow.Placement. Requests that callers canceled or that did not run
 // say nothing about a version; neither do answers that broke off, since crashes and
 // cut connections affect every version.
 func (p *countedPlace) Release(now time.Time, outcome flow.Outcome, tokens int) {
