--- a/internal/role/agent/status.go
+++ b/internal/role/agent/status.go
@@ -37,11 +37,11 @@
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_agent_" + name, Help: help}, read))
 	}
 	gauge("running", "Requests running on the upstream.", func() float64 { return float64(a.Load().GetRunning()) })
-	gauge("limit", "Maximum number of concurrent requests.", func() float64 { return float64(a.Load().GetLimit()) })
+	gauge("limit", "Requests that may run at once.", func() float64 { return float64(a.Load().GetLimit()) })
 	gauge("dispatched", "Requests dispatched so far.", func() float64 { return float64(a.Counts().Dispatched) })
 	gauge("declined", "Offers declined so far.", func() float64 { return float64(a.Counts().Declined) })
-	gauge("crashes", "Crashes of the upstream detected.", func() float64 { return float64(a.Counts().Crashes) })
-	gauge("invariant_breaches", "Invariant violations detected.", func() float64 { return float64(a.invariants.Total()) })
+	gauge("crashes", "Deaths of the upstream seen.", func() float64 { return float64(a.Counts().Crashes) })
+	gauge("invariant_breaches", "Invariants seen broken.", func() float64 { return float64(a.invariants.Total()) })
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/role/entry/status.go
+++ b/internal/role/entry/status.go
@@ -109,12 +109,12 @@
 		registry:      prometheus.NewRegistry(),
 		outcomes:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_requests_total", Help: "Requests by tier and outcome."}, []string{"tier", "outcome"}),
 		refusals:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_refusals_total", Help: "Refusals by kind."}, []string{"kind", "ran"}),
-		offers:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_offers_total", Help: "Offers by result."}, []string{"reason"}),
+		offers:        prometheus.NewCounterVec(prometheus.CounterOpts{Name: "persimmonridge_offers_total", Help: "Offers by how they ended."}, []string{"reason"}),
 		firstByte:     prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "persimmonridge_first_byte_seconds", Help: "Time to the first byte of answers.", Buckets: prometheus.ExponentialBuckets(0.005, 2, 14)}, []string{"tier"}),
-		linksReplaced: prometheus.NewCounter(prometheus.CounterOpts{Name: "persimmonridge_links_replaced_total", Help: "Links replaced during a request."}),
-		inFlight:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "persimmonridge_requests_in_flight", Help: "Requests in progress."}),
+		linksReplaced: prometheus.NewCounter(prometheus.CounterOpts{Name: "persimmonridge_links_replaced_total", Help: "Links replaced under a request."}),
+		inFlight:      prometheus.NewGauge(prometheus.GaugeOpts{Name: "persimmonridge_requests_in_flight", Help: "Requests under way."}),
 	}
-	breaches := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_invariant_breaches", Help: "Invariant violations detected."}, func() float64 { return float64(e.invariants.Total()) })
+	breaches := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_invariant_breaches", Help: "Invariants seen broken."}, func() float64 { return float64(e.invariants.Total()) })
 	revision := prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "persimmonridge_config_revision", Help: "Configuration revision in force."}, func() float64 { return float64(e.log.Revision()) })
 	m.registry.MustRegister(m.outcomes, m.refusals, m.offers, m.firstByte, m.linksReplaced, m.inFlight, breaches, revision)
 	return m
--- a/internal/version/move/move.go
+++ b/internal/version/move/move.go
@@ -143,7 +143,7 @@
 // entry may record it, not only the one that decides on moves: otherwise that one
 // would see no more failures and take the version for healthy.
 func Stopped(now time.Time, m rules.Move, state document.MoveState, who string) document.MoveState {
-	why := fmt.Sprintf("%s fails: %s stopped sending requests to it because of failures of its own callers' requests", m.To(), who)
+	why := fmt.Sprintf("%s fails: %s stopped sending to it on what its own callers saw", m.To(), who)
 	return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why)
 }
 
--- a/internal/version/rollout/rollout.go
+++ b/internal/version/rollout/rollout.go
@@ -88,10 +88,10 @@
 	}
 	elapsed := float64(now.UnixMilli()-s.BeganMs) / float64(max(1, o.Duration.Milliseconds()))
 	if elapsed >= completeFraction && observed.Ready {
-		return s.end(Complete, 1, "no evidence against the version"), true
+		return s.end(Complete, 1, "nothing speaks against the version"), true
 	}
 	if elapsed >= giveUpFraction {
-		return s.end(Reverted, 0, "the version has no upstream"), true
+		return s.end(Reverted, 0, "no upstream of the version is there"), true
 	}
 	for _, stage := range stages {
 		if elapsed < stage.until && s.Share != stage.share {
