--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -160,7 +160,7 @@
 	c.Logger.Debug("choosing without the scheduler", "id", req.ID)
 	now := c.Now()
 	if req.EndConstraint == flow.EndRequired {
-		return nil, flow.RefusePlacement(0, "gateway stops before the stream could complete")
+		return nil, flow.RefusePlacement(0, "this process shuts down before the request could complete")
 	}
 	chosen, err := c.Local.Pick(ctx, now, req)
 	if err != nil {
