--- a/cmd/persimmonridge/measure_moves.go
+++ b/cmd/persimmonridge/measure_moves.go
@@ -43,7 +43,7 @@
 		switch {
 		case o.InTime:
 			completed++
-		case o.Verdict == document.TakenBack:
+		case o.Verdict == document.RolledBack:
 			takenBack++
 		default:
 			open++
--- a/internal/config/document/document.go
+++ b/internal/config/document/document.go
@@ -15,11 +15,11 @@
 // Verdict is the status of a version move.
 type Verdict string
 
-// Verdicts of a move; Completed and TakenBack are final.
+// Verdicts of a move; Completed and RolledBack are final.
 const (
-	Moving    Verdict = "moving"
-	Completed Verdict = "completed"
-	TakenBack Verdict = "taken-back"
+	Moving     Verdict = "moving"
+	Completed  Verdict = "completed"
+	RolledBack Verdict = "taken-back"
 )
 
 // MoveState is the recorded state of one move.
@@ -151,8 +151,8 @@
 // Open reports whether the move has not ended.
 func (m Move) Open() bool { return !m.recorded || m.state.Verdict() == Moving }
 
-// UnderWay reports whether the move has begun and not ended.
-func (m Move) UnderWay() bool { return m.recorded && m.state.Verdict() == Moving }
+// InProgress reports whether the move has begun and not ended.
+func (m Move) InProgress() bool { return m.recorded && m.state.Verdict() == Moving }
 
 // Moves returns the moves that the rules request, with their recorded states, in
 // order of name.
--- a/internal/config/rules/rules.go
+++ b/internal/config/rules/rules.go
@@ -35,7 +35,7 @@
 // Values of IfLate: return the traffic to the old version, or keep the stage
 // reached until there is good evidence for the next one.
 const (
-	TakeBack IfLate = "take-back"
+	RollBack IfLate = "take-back"
 	Hold     IfLate = "hold"
 )
 
@@ -164,7 +164,7 @@
 		doc := r.doc.Moves[name]
 		path := "/moves/" + name
 		if doc.IfLate == "" {
-			doc.IfLate = TakeBack
+			doc.IfLate = RollBack
 		}
 		r.moves = append(r.moves, Move{name: name, doc: doc})
 		service, ok := inv.Service(doc.Service)
@@ -274,8 +274,8 @@
 // Start returns the earliest time at which the move may begin.
 func (m Move) Start() time.Time { return m.doc.Start }
 
-// By returns the time by which the move must be complete.
-func (m Move) By() time.Time { return m.doc.By }
+// Deadline returns the time by which the move must be complete.
+func (m Move) Deadline() time.Time { return m.doc.By }
 
 // IfLate states what happens to the move if it does not meet its deadline.
 func (m Move) IfLate() IfLate { return m.doc.IfLate }
--- a/internal/dispatch/candidate/candidate.go
+++ b/internal/dispatch/candidate/candidate.go
@@ -29,15 +29,15 @@
 	return mix(xxhash.Sum64String(workspace) ^ prefix)
 }
 
-// Most is the largest number of candidates that Choose returns.
-const Most = 32
+// MaxCandidates is the largest number of candidates that Choose returns.
+const MaxCandidates = 32
 
 // Choose appends the indices of the k members that score highest for the key to
 // dst[:0], best first, and returns it. It does not allocate if dst has capacity
 // for k indices.
 func Choose(dst []int, members []Member, key uint64, k int) []int {
-	var scores [Most]float64
-	k = min(k, Most, len(members))
+	var scores [MaxCandidates]float64
+	k = min(k, MaxCandidates, len(members))
 	dst = dst[:0]
 	if k == 0 {
 		return dst
--- a/internal/dispatch/candidate/candidate_test.go
+++ b/internal/dispatch/candidate/candidate_test.go
@@ -56,12 +56,12 @@
 		require.False(t, seen[index])
 		seen[index] = true
 	}
-	require.Len(t, candidate.Choose(nil, members(100), 1, 100), candidate.Most)
+	require.Len(t, candidate.Choose(nil, members(100), 1, 100), candidate.MaxCandidates)
 }
 
 func BenchmarkChoose600(b *testing.B) {
 	all := members(600)
-	var buffer [candidate.Most]int
+	var buffer [candidate.MaxCandidates]int
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		candidate.Choose(buffer[:0], all, uint64(i)*0x9e3779b97f4a7c15, 8)
--- a/internal/dispatch/index/index.go
+++ b/internal/dispatch/index/index.go
@@ -21,36 +21,36 @@
 	Slots int
 	// Speed is the upstream's speed relative to the other upstreams.
 	Speed float64
-	// Cached is the share of this request's prefill that its cache saves.
-	Cached float64
+	// CachedShare is the share of this request's prefill that its cache saves.
+	CachedShare float64
 }
 
 // Job is the expected size of a request.
 type Job struct {
-	// Decode is the expected decode time of the answer at speed 1.
-	Decode time.Duration
-	// Prefill is the prefill time of the prompt at speed 1, without cache.
-	Prefill time.Duration
-	// Cost is the holding cost rate; it is higher for higher tiers.
-	Cost float64
+	// DecodeTime is the expected decode time of the answer at speed 1.
+	DecodeTime time.Duration
+	// PrefillTime is the prefill time of the prompt at speed 1, without cache.
+	PrefillTime time.Duration
+	// HoldingCost is the holding cost rate; it is higher for higher tiers.
+	HoldingCost float64
 }
 
 // Traffic describes the arrival process, for the value functions of MarginalCost
 // and Lookahead.
 type Traffic struct {
-	// Rate is the number of arrivals per second over all upstreams.
-	Rate float64
+	// ArrivalRate is the number of arrivals per second over all upstreams.
+	ArrivalRate float64
 	// The first two moments of the service time at speed 1, in seconds.
-	MeanSize   float64
-	MeanSquare float64
+	MeanServiceTime       float64
+	MeanSquareServiceTime float64
 }
 
 // Policy returns the index of the view that a job is sent to.
 type Policy func(views []View, job Job, traffic Traffic, random *rand.Rand) int
 
-// Registry maps names to policies.
-var Registry = map[string]Policy{
-	"random-of-two":       RandomOfTwo,
+// Policies maps names to policies.
+var Policies = map[string]Policy{
+	"random-of-two":       PowerOfTwoChoices,
 	"join-shortest-queue": JoinShortestQueue,
 	"least-work-left":     LeastWorkLeft,
 	"myopic":              Myopic,
@@ -61,8 +61,8 @@
 	"cached-lookahead":    CachedLookahead,
 }
 
-// RandomOfTwo chooses the shorter one of the queues of two random upstreams.
-func RandomOfTwo(views []View, _ Job, _ Traffic, random *rand.Rand) int {
+// PowerOfTwoChoices chooses the shorter one of the queues of two random upstreams.
+func PowerOfTwoChoices(views []View, _ Job, _ Traffic, random *rand.Rand) int {
 	a, b := random.IntN(len(views)), random.IntN(len(views))
 	if views[b].Jobs < views[a].Jobs {
 		return b
@@ -83,13 +83,13 @@
 // Myopic chooses the upstream with the earliest expected finish of this job,
 // ignoring caches.
 func Myopic(views []View, job Job, _ Traffic, _ *rand.Rand) int {
-	return argMin(views, func(v View) float64 { return v.Wait().Seconds() + serviceTime(job)/v.Speed })
+	return argMin(views, func(v View) float64 { return v.ExpectedWait().Seconds() + serviceTime(job)/v.Speed })
 }
 
 // ExpectedFinish chooses the upstream with the earliest expected finish of this
 // job, including the prefill that the upstream's cache saves.
 func ExpectedFinish(views []View, job Job, _ Traffic, _ *rand.Rand) int {
-	return argMin(views, func(v View) float64 { return Finish(v, job) })
+	return argMin(views, func(v View) float64 { return FinishTime(v, job) })
 }
 
 // prefillCostFactor is the cost of a second of prefill relative to a second of
@@ -100,14 +100,14 @@
 // WeightedPrefill is ExpectedFinish plus the cost of the job's prefill to other
 // jobs.
 func WeightedPrefill(views []View, job Job, _ Traffic, _ *rand.Rand) int {
-	return argMin(views, func(v View) float64 { return Weighted(v, job) })
+	return argMin(views, func(v View) float64 { return WeightedFinishTime(v, job) })
 }
 
-// Weighted returns the expected time until the job is finished plus the cost of
+// WeightedFinishTime returns the expected time until the job is finished plus the cost of
 // its prefill to other jobs, in seconds.
-func Weighted(v View, job Job) float64 {
-	prefill := job.Prefill.Seconds() * (1 - v.Cached) / v.Speed
-	return Finish(v, job) + (prefillCostFactor-1)*prefill
+func WeightedFinishTime(v View, job Job) float64 {
+	prefill := job.PrefillTime.Seconds() * (1 - v.CachedShare) / v.Speed
+	return FinishTime(v, job) + (prefillCostFactor-1)*prefill
 }
 
 // CachedLookahead is Lookahead without the prefill that the upstream's cache
@@ -117,7 +117,7 @@
 	best, bestCost := 0, math.Inf(1)
 	for i, v := range views {
 		remaining := job
-		remaining.Prefill = time.Duration(float64(job.Prefill) * (1 - v.Cached))
+		remaining.PrefillTime = time.Duration(float64(job.PrefillTime) * (1 - v.CachedShare))
 		cost := marginalCost(v, remaining, traffic, total) + secondAction(views, i, remaining, traffic, total)
 		if cost < bestCost {
 			best, bestCost = i, cost
@@ -126,10 +126,10 @@
 	return best
 }
 
-// Finish returns the expected time until the job is finished, in seconds.
-func Finish(v View, job Job) float64 {
-	prefill := job.Prefill.Seconds() * (1 - v.Cached)
-	return v.Wait().Seconds() + (prefill+job.Decode.Seconds())/v.Speed
+// FinishTime returns the expected time until the job is finished, in seconds.
+func FinishTime(v View, job Job) float64 {
+	prefill := job.PrefillTime.Seconds() * (1 - v.CachedShare)
+	return v.ExpectedWait().Seconds() + (prefill+job.DecodeTime.Seconds())/v.Speed
 }
 
 // MarginalCost is formula 5 of "Lookahead Actions in Dispatching to Parallel
@@ -157,17 +157,17 @@
 // secondAction returns the term that formula 8 adds to formula 5 for the first
 // action i.
 func secondAction(views []View, i int, job Job, traffic Traffic, total float64) float64 {
-	rate := traffic.Rate
+	rate := traffic.ArrivalRate
 	waitSum, minNext := 0.0, math.Inf(1)
 	for j, v := range views {
-		u := v.Wait().Seconds()
+		u := v.ExpectedWait().Seconds()
 		if j == i {
 			u += serviceTime(job) / v.Speed
 		}
 		g := waitWeight(v, traffic, total)
 		idle := math.Exp(-rate * u)
 		waitSum += g * (1 - rate*u - idle)
-		x, x2 := traffic.MeanSize/v.Speed, traffic.MeanSquare/(v.Speed*v.Speed)
+		x, x2 := traffic.MeanServiceTime/v.Speed, traffic.MeanSquareServiceTime/(v.Speed*v.Speed)
 		minNext = min(minNext, (1+2*g*x)*(u-(1-idle)/rate)+g*x2+x)
 	}
 	return 2/(rate*rate)*waitSum + minNext
@@ -175,8 +175,8 @@
 
 func marginalCost(v View, job Job, traffic Traffic, total float64) float64 {
 	x := serviceTime(job) / v.Speed
-	u := v.Wait().Seconds() + x
-	return u*job.Cost + waitWeight(v, traffic, total)*x*(2*u-x)
+	u := v.ExpectedWait().Seconds() + x
+	return u*job.HoldingCost + waitWeight(v, traffic, total)*x*(2*u-x)
 }
 
 // waitWeight is the paper's g_i = λ_i E[B] / (2 (1 - ρ_i)), E[B] being 1.
@@ -184,20 +184,20 @@
 	// maxLoad keeps the formula finite when the estimated load reaches 1; the
 	// paper assumes a stable system.
 	const maxLoad = 0.98
-	rate := traffic.Rate * v.Speed / total
-	load := min(rate*traffic.MeanSize/v.Speed, maxLoad)
+	rate := traffic.ArrivalRate * v.Speed / total
+	load := min(rate*traffic.MeanServiceTime/v.Speed, maxLoad)
 	return rate / (2 * (1 - load))
 }
 
-// Wait returns the expected time until a slot is free.
-func (v View) Wait() time.Duration {
+// ExpectedWait returns the expected time until a slot is free.
+func (v View) ExpectedWait() time.Duration {
 	if v.Jobs < v.Slots {
 		return 0
 	}
 	return v.Backlog / time.Duration(max(v.Slots, 1))
 }
 
-func serviceTime(job Job) float64 { return (job.Prefill + job.Decode).Seconds() }
+func serviceTime(job Job) float64 { return (job.PrefillTime + job.DecodeTime).Seconds() }
 
 func totalSpeed(views []View) float64 {
 	total := 0.0
--- a/internal/fleet/control/control.go
+++ b/internal/fleet/control/control.go
@@ -61,7 +61,7 @@
 // from the notices that it receives.
 type Peer struct {
 	log      *changelog.Log
-	suspects *suspect.Register
+	suspects *suspect.Registry
 	changed  *Signal
 	evidence *Signal
 	now      func() time.Time
@@ -88,7 +88,7 @@
 
 // NewPeer returns a peer for a configuration log and a register of crashes.
 // The signal changed is raised on every change that a notice reports.
-func NewPeer(log *changelog.Log, suspects *suspect.Register, changed *Signal, now func() time.Time, options ...Option) *Peer {
+func NewPeer(log *changelog.Log, suspects *suspect.Registry, changed *Signal, now func() time.Time, options ...Option) *Peer {
 	p := &Peer{log: log, suspects: suspects, changed: changed, now: now, evidence: NewSignal(), streams: make(map[string]*controlStream)}
 	for _, option := range options {
 		option(p)
@@ -336,7 +336,7 @@
 func (p *Peer) recordCrashes(now time.Time, n *wire.Notice) {
 	isNew := false
 	for _, crash := range n.GetCrashes() {
-		if p.suspects.Learn(now, suspect.NewCrash(crash.GetId(), now, crash.GetFingerprints())) {
+		if p.suspects.Record(now, suspect.NewCrash(crash.GetId(), now, crash.GetFingerprints())) {
 			isNew = true
 		}
 	}
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -30,7 +30,7 @@
 // node is one side of a control stream.
 type node struct {
 	log      *changelog.Log
-	suspects *suspect.Register
+	suspects *suspect.Registry
 	changed  *control.Signal
 	evidence *control.Signal
 	peer     *control.Peer
@@ -172,9 +172,9 @@
 		entry, agent := newNode(), newNode()
 		connect(t, entry, agent)
 		bubble.Pass(time.Second)
-		agent.suspects.Learn(time.Now(), suspect.NewCrash(1, time.Now(), []uint64{7}))
+		agent.suspects.Record(time.Now(), suspect.NewCrash(1, time.Now(), []uint64{7}))
 		agent.changed.Raise()
 		bubble.Pass(100 * time.Millisecond)
-		require.Equal(t, suspect.Suspected, entry.suspects.Standing(time.Now(), 7))
+		require.Equal(t, suspect.Suspected, entry.suspects.Status(time.Now(), 7))
 	})
 }
--- a/internal/fleet/link/pool.go
+++ b/internal/fleet/link/pool.go
@@ -103,9 +103,9 @@
 // Option configures a pool.
 type Option func(*Pool)
 
-// DialWithin sets the timeout of one connection attempt, for callers that retry
+// WithDialTimeout sets the timeout of one connection attempt, for callers that retry
 // quickly.
-func DialWithin(timeout time.Duration) Option { return func(p *Pool) { p.dialTimeout = timeout } }
+func WithDialTimeout(timeout time.Duration) Option { return func(p *Pool) { p.dialTimeout = timeout } }
 
 // Open opens a stream to the address, on a new session if there is none. If the
 // error is Refused, nothing was delivered.
@@ -243,16 +243,16 @@
 	closeQuietly(session.mux)
 }
 
-// Holds reports whether the pool has an open session to the address.
-func (p *Pool) Holds(address string) bool {
+// HasSession reports whether the pool has an open session to the address.
+func (p *Pool) HasSession(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	session := p.sessions[address]
 	return session != nil && !session.mux.IsClosed()
 }
 
-// Drop closes the session to an address that is no longer in use.
-func (p *Pool) Drop(address string) {
+// CloseSession closes the session to an address that is no longer in use.
+func (p *Pool) CloseSession(address string) {
 	p.mu.Lock()
 	session := p.sessions[address]
 	delete(p.sessions, address)
--- a/internal/fleet/link/stream_test.go
+++ b/internal/fleet/link/stream_test.go
@@ -110,7 +110,7 @@
 		require.NoError(t, ping())
 		n.Silence(server.Addr())
 		require.True(t, errorx.IsOfType(ping(), link.Silent))
-		require.False(t, pool.Holds(server.Addr()))
+		require.False(t, pool.HasSession(server.Addr()))
 		require.NoError(t, ping(), "no new session was opened")
 		n.Vanish(server.Addr())
 		require.True(t, errorx.IsOfType(ping(), link.Silent))
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -212,7 +212,7 @@
 func (u *Upstream) HasPrefix(prefix uint64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if slices.Contains(u.load.GetPrefixes(), prefixcache.Mark(prefix)) {
+	if slices.Contains(u.load.GetPrefixes(), prefixcache.ShortKey(prefix)) {
 		return true
 	}
 	return slices.ContainsFunc(u.sent, func(s sentWork) bool { return s.prefix == prefix })
--- a/internal/fleet/mesh/mesh.go
+++ b/internal/fleet/mesh/mesh.go
@@ -151,7 +151,7 @@
 func New(node, address string, run uint64, dialer link.Dialer, handler Handler, logger *slog.Logger, now func() time.Time) *Mesh {
 	return &Mesh{
 		node: node, address: address, run: run, handler: handler, logger: logger, now: now,
-		pool: link.NewPool(dialer, nil, link.DialWithin(dialTimeout)), peers: make(map[string]*peer), rank: unknownRank, hub: true, wake: make(chan struct{}, 1),
+		pool: link.NewPool(dialer, nil, link.WithDialTimeout(dialTimeout)), peers: make(map[string]*peer), rank: unknownRank, hub: true, wake: make(chan struct{}, 1),
 	}
 }
 
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -57,7 +57,7 @@
 	engine      *engine.Client
 	server      *link.Server
 	log         *changelog.Log
-	suspects    *suspect.Register
+	suspects    *suspect.Registry
 	changed     *control.Signal
 	evidence    *control.Signal
 	peer        *control.Peer
@@ -66,14 +66,14 @@
 	mu          sync.Mutex
 	admission   *admission.Controller
 	limit       *limit.Limit
-	prefixCache *prefixcache.Guess
+	prefixCache *prefixcache.Estimate
 	runs        map[string]*run
 	withdrawn   map[string]time.Time
 	// dispatched maps a request id to the time when its dispatch record expires.
 	dispatched   map[string]time.Time
 	board        *evidence.Board
 	boardRollout string
-	versionBrake *evidence.Brake
+	versionBrake *evidence.Breaker
 	lastSweep    time.Time
 	crashes      uint64
 	crashedAt    time.Time
@@ -124,7 +124,7 @@
 		withdrawn:    make(map[string]time.Time),
 		dispatched:   make(map[string]time.Time),
 		board:        evidence.NewBoard(),
-		versionBrake: evidence.NewBrake(),
+		versionBrake: evidence.NewBreaker(),
 		ctx:          ctx,
 		cancel:       cancel,
 	}
@@ -190,12 +190,12 @@
 		Limit:       uint32(a.admission.Limit()),
 		TokenGapUs:  uint32(a.limit.TokenGap().Microseconds()),
 		Version:     a.settings.Version(),
-		Prefixes:    a.prefixCache.Told(),
+		Prefixes:    a.prefixCache.RecentKeys(),
 		Revision:    a.log.Revision(),
 	}
 	tiers := a.tiers()
 	for tier := range tiers {
-		l.WaitMs = append(l.WaitMs, uint32(a.admission.Wait(now, tier).Milliseconds()))
+		l.WaitMs = append(l.WaitMs, uint32(a.admission.ProjectedWait(now, tier).Milliseconds()))
 		l.Waiting = append(l.Waiting, uint32(a.admission.WaitingTier(tier)))
 	}
 	return l
@@ -255,7 +255,7 @@
 	}
 	a.counts.Dispatched++
 	if r.offer.GetPrefixTokens() > 0 {
-		a.prefixCache.Used(r.offer.GetPrefixKey(), int(r.offer.GetPrefixTokens()))
+		a.prefixCache.RecordUse(r.offer.GetPrefixKey(), int(r.offer.GetPrefixTokens()))
 	}
 	r.started = true
 	r.startedAt = now
@@ -271,7 +271,7 @@
 		report, err := a.engine.Load(a.ctx)
 		if err == nil {
 			a.mu.Lock()
-			a.prefixCache.Reported(report.CachedTokens)
+			a.prefixCache.RecordCachedTokens(report.CachedTokens)
 			a.mu.Unlock()
 		}
 		select {
--- a/internal/role/agent/execute.go
+++ b/internal/role/agent/execute.go
@@ -31,7 +31,7 @@
 	call := engine.NewCall(r.id(), r.offer.GetMethod(), r.offer.GetPath(), r.offer.GetHeaders(), r.offer.GetBody())
 	result := a.engine.Run(r.ctx, call, r.buffer, runObserver{agent: a, run: r})
 	outcome := result.Outcome()
-	if result.Cut() && a.upstreamDied(r) {
+	if result.Truncated() && a.upstreamDied(r) {
 		outcome = wire.End_OUTCOME_UPSTREAM_LOST
 	}
 	a.finish(r, result, outcome)
@@ -98,7 +98,7 @@
 		return
 	}
 	a.boardRollout = rollout.Name()
-	a.board, a.versionBrake = evidence.NewBoard(), evidence.NewBrake()
+	a.board, a.versionBrake = evidence.NewBoard(), evidence.NewBreaker()
 }
 
 // normalizedLatency makes latencies of responses of different lengths
@@ -178,7 +178,7 @@
 func (a *Agent) recentlyCanceled(now time.Time) []uint64 {
 	var fingerprints []uint64
 	for _, r := range a.runs {
-		ended := r.buffer.Ended()
+		ended := r.buffer.End()
 		if ended.GetOutcome() == wire.End_OUTCOME_CANCELED && now.Sub(r.endedAt) < canceledWindow {
 			fingerprints = append(fingerprints, r.offer.GetFingerprint())
 		}
@@ -207,14 +207,14 @@
 // within crashWindow, only add their fingerprints. The caller holds the lock.
 func (a *Agent) recordCrash(now time.Time, fingerprints []uint64) *wire.Crash {
 	if now.Sub(a.crashedAt) < crashWindow {
-		a.suspects.Learn(now, suspect.NewCrash(a.crashID(a.crashes), now, fingerprints))
+		a.suspects.Record(now, suspect.NewCrash(a.crashID(a.crashes), now, fingerprints))
 		return &wire.Crash{Id: a.crashID(a.crashes), Fingerprints: fingerprints}
 	}
 	a.crashedAt = now
-	a.prefixCache.Lost()
+	a.prefixCache.Reset()
 	a.crashes++
 	a.counts.Crashes++
-	a.suspects.Learn(now, suspect.NewCrash(a.crashID(a.crashes), now, fingerprints))
+	a.suspects.Record(now, suspect.NewCrash(a.crashID(a.crashes), now, fingerprints))
 	a.logger.Warn("upstream died", "upstream", a.settings.Upstream(), "running", len(fingerprints))
 	a.block(now, wire.Decline_REASON_UNREACHABLE)
 	a.changed.Raise()
@@ -269,7 +269,7 @@
 	defer p.agent.mu.Unlock()
 	p.run.firstToken, p.run.lastToken = now, now
 	if !p.agent.settings.Plain() {
-		p.agent.limit.ObserveFirst(now, now.Sub(p.run.startedAt))
+		p.agent.limit.ObserveFirstToken(now, now.Sub(p.run.startedAt))
 	}
 }
 
@@ -279,7 +279,7 @@
 	defer p.agent.mu.Unlock()
 	r := p.run
 	if gap := now.Sub(r.lastToken); gap > 0 && r.tokens > 0 && !p.agent.settings.Plain() {
-		p.agent.limit.ObserveGap(now, gap/time.Duration(max(count, 1)))
+		p.agent.limit.ObserveTokenGap(now, gap/time.Duration(max(count, 1)))
 	}
 	r.lastToken = now
 	r.tokens += count
@@ -287,6 +287,6 @@
 		r.reforecasts = r.tokens / reforecastTokens
 		left := p.agent.forecast.Remaining(p.agent.route(r), r.tokens)
 		work := now.Sub(r.startedAt) + time.Duration(left)*p.agent.limit.TokenGap()
-		p.agent.admission.Reforecast(r.id(), work)
+		p.agent.admission.UpdateWork(r.id(), work)
 	}
 }
--- a/internal/role/agent/serve.go
+++ b/internal/role/agent/serve.go
@@ -89,9 +89,9 @@
 		options = append(options, admission.RepeatSafe())
 	}
 	if o.GetPatienceMs() > 0 {
-		options = append(options, admission.Patience(milliseconds(o.GetPatienceMs())))
+		options = append(options, admission.MaxWait(milliseconds(o.GetPatienceMs())))
 	}
-	if o.GetSuspect() || a.suspects.Standing(now, o.GetFingerprint()) == suspect.Suspected {
+	if o.GetSuspect() || a.suspects.Status(now, o.GetFingerprint()) == suspect.Suspected {
 		options = append(options, admission.Suspect())
 	}
 	deadline := now.Add(milliseconds(o.GetDeadlineMs()))
@@ -110,7 +110,7 @@
 		return wire.Decline_REASON_WITHDRAWN
 	case a.clock(now) > o.GetStartByClockMs():
 		return wire.Decline_REASON_TOO_LATE
-	case a.suspects.Standing(now, o.GetFingerprint()) == suspect.Convicted:
+	case a.suspects.Status(now, o.GetFingerprint()) == suspect.Convicted:
 		return wire.Decline_REASON_CONVICTED
 	}
 	return wire.Decline_REASON_UNSPECIFIED
@@ -312,6 +312,6 @@
 	return &wire.Envelope{Body: &wire.Envelope_Heartbeat{Heartbeat: &wire.Heartbeat{}}}
 }
 
-func dataEnvelope(piece answer.Piece) *wire.Envelope {
+func dataEnvelope(piece answer.Chunk) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_Data{Data: &wire.Data{Offset: piece.Offset(), Bytes: piece.Data()}}}
 }
--- a/internal/role/entry/attempt.go
+++ b/internal/role/entry/attempt.go
@@ -134,7 +134,7 @@
 		RepeatSafe:     q.RepeatSafe(), Keyed: q.Keyed(),
 		Fingerprint: q.Fingerprint(), PrefixKey: q.PrefixKey(), PrefixTokens: uint32(q.PrefixTokens()), PatienceMs: uint32(c.patience.Milliseconds()),
 		Method: q.Method(), Path: q.Path(), Body: q.Body(),
-		Suspect: a.entry.suspects.Standing(now, q.Fingerprint()) == suspect.Suspected,
+		Suspect: a.entry.suspects.Status(now, q.Fingerprint()) == suspect.Suspected,
 	}
 	for _, field := range q.Headers() {
 		offer.Headers = append(offer.Headers, &wire.Field{Name: field.Name(), Value: field.Value()})
--- a/internal/role/entry/choose.go
+++ b/internal/role/entry/choose.go
@@ -59,14 +59,14 @@
 	if group == nil {
 		return nil
 	}
-	var buffer [candidate.Most]int
+	var buffer [candidate.MaxCandidates]int
 	key := candidate.Key(q.Workspace(), q.PrefixKey())
 	size := initialCandidates
 	if wide || group.Len() <= maxCandidates {
 		size = maxCandidates
 	}
 	chosen := candidate.Choose(buffer[:0], group.Members(), key, size)
-	var views [candidate.Most]index.View
+	var views [candidate.MaxCandidates]index.View
 	for i, at := range chosen {
 		views[i] = group.At(at).View(now, q.Tier())
 	}
@@ -99,17 +99,17 @@
 }
 
 func (e *Entry) score(q *request.Request, u *member.Upstream, view index.View) choice {
-	job := index.Job{Cost: 1}
+	job := index.Job{HoldingCost: 1}
 	if q.Service().Kind() == inventory.Model {
 		tokens := e.forecast.Quantile(route(q), workQuantile)
-		job.Decode = time.Duration(tokens) * tokenInterval
-		job.Prefill = time.Duration(q.PromptTokens()) * time.Second / prefillRate
-		view.Cached = cachedShare(q, u)
+		job.DecodeTime = time.Duration(tokens) * tokenInterval
+		job.PrefillTime = time.Duration(q.PromptTokens()) * time.Second / prefillRate
+		view.CachedShare = cachedShare(q, u)
 	} else {
-		job.Decode = e.plainWork(q)
+		job.DecodeTime = e.plainWork(q)
 	}
-	alone := (job.Decode.Seconds() + job.Prefill.Seconds()*(1-view.Cached)) / view.Speed
-	return choice{upstream: u, incarnation: u.Incarnation(), rank: index.Weighted(view, job), wait: view.Wait(), work: time.Duration(alone * float64(time.Second))}
+	alone := (job.DecodeTime.Seconds() + job.PrefillTime.Seconds()*(1-view.CachedShare)) / view.Speed
+	return choice{upstream: u, incarnation: u.Incarnation(), rank: index.WeightedFinishTime(view, job), wait: view.ExpectedWait(), work: time.Duration(alone * float64(time.Second))}
 }
 
 // cachedShare returns the share of the prompt's prefill that the upstream's
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -65,7 +65,7 @@
 	peers    *link.Server
 	peer     *control.Peer
 	changed  *control.Signal
-	suspects *suspect.Register
+	suspects *suspect.Registry
 	forecast *forecast.Forecast
 	retries  *budget.Bucket
 	claims   *claims
--- a/internal/role/entry/peers.go
+++ b/internal/role/entry/peers.go
@@ -30,7 +30,7 @@
 // replaceVMs applies a new list of VMs.
 func (e *Entry) replaceVMs(vms []vmlist.VM) {
 	for _, removed := range e.table.Replace(vms) {
-		e.pool.Drop(removed.Address())
+		e.pool.CloseSession(removed.Address())
 		e.rollouts.removeReport(removed)
 	}
 	all := e.table.All()
@@ -113,7 +113,7 @@
 	// does not mean that the agent is lost: the agent uses the new session and,
 	// with nothing new to report, would not send its state again. If it were
 	// marked as lost here, it would be considered unreachable forever.
-	if e.pool.Holds(address) {
+	if e.pool.HasSession(address) {
 		return
 	}
 	if u, ok := e.table.ByAddress(address); ok {
@@ -150,7 +150,7 @@
 // of a response, and notifies peers of it.
 func (e *Entry) recordCrash(crash *wire.Crash) {
 	now := e.now()
-	if crash != nil && e.suspects.Learn(now, suspect.NewCrash(crash.GetId(), now, crash.GetFingerprints())) {
+	if crash != nil && e.suspects.Record(now, suspect.NewCrash(crash.GetId(), now, crash.GetFingerprints())) {
 		e.changed.Raise()
 	}
 }
--- a/internal/role/entry/rollouts.go
+++ b/internal/role/entry/rollouts.go
@@ -51,7 +51,7 @@
 
 // localRollout is the state of a rollout based on this entry's own requests.
 type localRollout struct {
-	brake   *evidence.Brake
+	brake   *evidence.Breaker
 	stopped bool
 }
 
@@ -100,7 +100,7 @@
 	if known && state.Verdict() == document.Completed {
 		return []string{rollout.To(), rollout.From()}
 	}
-	if !rollout.UnderWay() || m.stopped(rollout) || !move.Chosen(rollout.Move, q.ID(), state.Share()) {
+	if !rollout.InProgress() || m.stopped(rollout) || !move.Chosen(rollout.Move, q.ID(), state.Share()) {
 		return []string{rollout.From()}
 	}
 	return []string{rollout.To(), rollout.From()}
@@ -148,7 +148,7 @@
 func (m *rollouts) observe(q *request.Request, u *member.Upstream, failed bool) {
 	doc, _ := m.entry.log.Current()
 	for _, rollout := range doc.Moves() {
-		if rollout.Service() == u.Service() && rollout.UnderWay() {
+		if rollout.Service() == u.Service() && rollout.InProgress() {
 			m.observeRollout(rollout, q, u, failed)
 		}
 	}
@@ -159,7 +159,7 @@
 	defer m.mu.Unlock()
 	known := m.local[rollout.Name()]
 	if known == nil {
-		known = &localRollout{brake: evidence.NewBrake()}
+		known = &localRollout{brake: evidence.NewBreaker()}
 		m.local[rollout.Name()] = known
 	}
 	if known.stopped || u.Version() != rollout.To() {
@@ -228,7 +228,7 @@
 // reports whether there was one.
 func (m *rollouts) submitStopped(ctx context.Context, doc document.Document, revision uint64) bool {
 	for _, rollout := range doc.Moves() {
-		if rollout.UnderWay() && m.stoppedLocally(rollout) {
+		if rollout.InProgress() && m.stoppedLocally(rollout) {
 			now := m.entry.now()
 			state, _ := rollout.State()
 			m.submit(ctx, now, rollout, move.Stopped(now, rollout.Move, state, m.entry.settings.Node()), revision)
@@ -340,7 +340,7 @@
 	var out []rolloutStatus
 	for _, rollout := range doc.Moves() {
 		state, known := rollout.State()
-		s := rolloutStatus{Name: rollout.Name(), Service: rollout.Service(), From: rollout.From(), To: rollout.To(), By: rollout.By(), Verdict: "not-begun", StoppedHere: m.stopped(rollout)}
+		s := rolloutStatus{Name: rollout.Name(), Service: rollout.Service(), From: rollout.From(), To: rollout.To(), By: rollout.Deadline(), Verdict: "not-begun", StoppedHere: m.stopped(rollout)}
 		if known {
 			s.Verdict, s.Share, s.Since, s.Why = string(state.Verdict()), state.Share(), state.Since(), state.Why()
 			s.CannotMeetDeadline = state.Verdict() == document.Moving && !move.Fits(now, rollout.Move, state)
--- a/internal/role/entry/serve.go
+++ b/internal/role/entry/serve.go
@@ -78,7 +78,7 @@
 // response.
 func (c *call) run(ctx context.Context) *refusal.Refusal {
 	now := c.entry.now()
-	if c.entry.suspects.Standing(now, c.request.Fingerprint()) == suspect.Convicted {
+	if c.entry.suspects.Status(now, c.request.Fingerprint()) == suspect.Convicted {
 		return convictedRefusal()
 	}
 	if c.request.Keyed() {
@@ -197,7 +197,7 @@
 	if !c.request.RepeatSafe() || c.output.started || c.retried || now.After(c.request.Deadline()) {
 		return false
 	}
-	if c.entry.suspects.Standing(now, c.request.Fingerprint()) == suspect.Convicted {
+	if c.entry.suspects.Status(now, c.request.Fingerprint()) == suspect.Convicted {
 		return false
 	}
 	return c.entry.retries.Take(now, 1, 0)
--- a/internal/trial/moves/moves.go
+++ b/internal/trial/moves/moves.go
@@ -107,8 +107,8 @@
 	agentBraked   [upstreams]bool
 	firstBrakedAt time.Time
 	watch         *evidence.Watch
-	agentBrakes   [upstreams]*evidence.Brake
-	entryBrakes   [entries]*evidence.Brake
+	agentBrakes   [upstreams]*evidence.Breaker
+	entryBrakes   [entries]*evidence.Breaker
 	entryStopped  [entries]bool
 	stage         *evidence.Board
 	stageState    document.MoveState
@@ -132,12 +132,12 @@
 			step = step.Add(stepInterval)
 		}
 		sim.request(now, number)
-		if sim.hasState && sim.state.Verdict() == document.TakenBack {
+		if sim.hasState && sim.state.Verdict() == document.RolledBack {
 			break
 		}
 	}
 	sim.outcome.Verdict = sim.state.Verdict()
-	sim.outcome.InTime = sim.state.Verdict() == document.Completed && !sim.state.Since().After(sim.rule.By())
+	sim.outcome.InTime = sim.state.Verdict() == document.Completed && !sim.state.Since().After(sim.rule.Deadline())
 	if !sim.firstFaultAt.IsZero() && sim.lastNewRunAt.After(sim.firstFaultAt) {
 		sim.outcome.FaultToNone = sim.lastNewRunAt.Sub(sim.firstFaultAt)
 	}
@@ -157,10 +157,10 @@
 		}
 	}
 	for i := range sim.agentBrakes {
-		sim.agentBrakes[i] = evidence.NewBrake()
+		sim.agentBrakes[i] = evidence.NewBreaker()
 	}
 	for i := range sim.entryBrakes {
-		sim.entryBrakes[i] = evidence.NewBrake()
+		sim.entryBrakes[i] = evidence.NewBreaker()
 	}
 	return sim, nil
 }
@@ -203,7 +203,7 @@
 }
 
 func (sim *simulation) routesToNew(now time.Time, entry int, id string) bool {
-	if !sim.hasState || sim.state.Verdict() == document.TakenBack || sim.entryStopped[entry] {
+	if !sim.hasState || sim.state.Verdict() == document.RolledBack || sim.entryStopped[entry] {
 		return false
 	}
 	if sim.state.Verdict() == document.Completed {
--- a/internal/trial/policy/policy.go
+++ b/internal/trial/policy/policy.go
@@ -92,7 +92,7 @@
 func Run(s Setting, name string) Outcome {
 	arrivals := drawArrivals(s)
 	sim := newSimulation(s, arrivals)
-	choose := index.Registry[name]
+	choose := index.Policies[name]
 	random := rand.New(rand.NewPCG(s.Seed, 7))
 	for _, arriving := range arrivals {
 		sim.advance(arriving.arrival)
@@ -107,7 +107,7 @@
 
 func (j job) indexJob(s Setting) index.Job {
 	prefill := s.PrefillShare * j.predictedSize
-	return index.Job{Decode: seconds(j.predictedSize - prefill), Prefill: seconds(prefill), Cost: float64(tierCount - j.tier)}
+	return index.Job{DecodeTime: seconds(j.predictedSize - prefill), PrefillTime: seconds(prefill), HoldingCost: float64(tierCount - j.tier)}
 }
 
 func seconds(x float64) time.Duration { return time.Duration(x * float64(meanJobTime)) }
@@ -371,9 +371,9 @@
 	}
 	views := append([]index.View(nil), sim.reports[j.tier]...)
 	for i := range views {
-		views[i].Cached = 0
+		views[i].CachedShare = 0
 		if sim.setting.CacheHeld > 0 && sim.upstreams[i].hasCached(j.prefix) {
-			views[i].Cached = 1
+			views[i].CachedShare = 1
 		}
 	}
 	return views
@@ -406,10 +406,10 @@
 
 func (sim *simulation) trafficStats() index.Traffic {
 	if sim.arrived == 0 || sim.now <= 0 {
-		return index.Traffic{Rate: 1, MeanSize: 1, MeanSquare: 2}
+		return index.Traffic{ArrivalRate: 1, MeanServiceTime: 1, MeanSquareServiceTime: 2}
 	}
 	count := float64(sim.arrived)
-	return index.Traffic{Rate: count / sim.now, MeanSize: sim.sizeSum / count, MeanSquare: sim.squareSum / count}
+	return index.Traffic{ArrivalRate: count / sim.now, MeanServiceTime: sim.sizeSum / count, MeanSquareServiceTime: sim.squareSum / count}
 }
 
 func (sim *simulation) outcome(name string) Outcome {
@@ -422,8 +422,8 @@
 
 // Names returns the names of all policies in alphabetical order.
 func Names() []string {
-	names := make([]string, 0, len(index.Registry))
-	for name := range index.Registry {
+	names := make([]string, 0, len(index.Policies))
+	for name := range index.Policies {
 		names = append(names, name)
 	}
 	sort.Strings(names)
--- a/internal/upstream/admission/admission.go
+++ b/internal/upstream/admission/admission.go
@@ -50,9 +50,9 @@
 // Suspect marks a request that was running on an upstream when it crashed.
 func Suspect() TicketOption { return func(t *Ticket) { t.suspect = true } }
 
-// Patience bounds the waiting time: a request that waits longer is declined with
+// MaxWait bounds the waiting time: a request that waits longer is declined with
 // REASON_PATIENCE, which is not load shedding, and its entry places it again.
-func Patience(d time.Duration) TicketOption { return func(t *Ticket) { t.maxWait = d } }
+func MaxWait(d time.Duration) TicketOption { return func(t *Ticket) { t.maxWait = d } }
 
 // NewTicket returns a ticket. Work is the expected time on the upstream; the
 // request is not started after startBy.
@@ -166,7 +166,7 @@
 	case now.Add(t.work).After(t.deadline):
 		return decline(t, wire.Decline_REASON_TOO_LATE)
 	}
-	if t.maxWait > 0 && c.Wait(now, t.tier) > t.maxWait {
+	if t.maxWait > 0 && c.ProjectedWait(now, t.tier) > t.maxWait {
 		return decline(t, wire.Decline_REASON_PATIENCE)
 	}
 	effects, fits := c.ensureCapacity(now, t)
@@ -201,7 +201,7 @@
 }
 
 func (c *Controller) missesDeadline(now time.Time, t *Ticket) bool {
-	start := now.Add(c.Wait(now, t.tier))
+	start := now.Add(c.ProjectedWait(now, t.tier))
 	return start.After(t.startBy) || start.Add(t.work).After(t.deadline)
 }
 
@@ -275,8 +275,8 @@
 	return c.start(now)
 }
 
-// Reforecast updates the expected work of a run while its tokens arrive.
-func (c *Controller) Reforecast(id string, work time.Duration) {
+// UpdateWork updates the expected work of a run while its tokens arrive.
+func (c *Controller) UpdateWork(id string, work time.Duration) {
 	if t := c.running[id]; t != nil {
 		t.work = work
 	}
@@ -307,9 +307,9 @@
 	return effects
 }
 
-// Wait returns the projected time until a new request of the tier would be
+// ProjectedWait returns the projected time until a new request of the tier would be
 // started.
-func (c *Controller) Wait(now time.Time, tier int) time.Duration {
+func (c *Controller) ProjectedWait(now time.Time, tier int) time.Duration {
 	queued := c.waiting.WorkUpTo(tier)
 	if len(c.running) < c.limit && queued == 0 {
 		return 0
--- a/internal/upstream/answer/answer.go
+++ b/internal/upstream/answer/answer.go
@@ -28,8 +28,8 @@
 // is well below the maximum frame size.
 const maxChunkBytes = 32 << 10
 
-// Piece is the next part of an answer to send: its head, body bytes or its end.
-type Piece struct {
+// Chunk is the next part of an answer to send: its head, body bytes or its end.
+type Chunk struct {
 	head   *wire.Head
 	offset uint64
 	data   []byte
@@ -37,16 +37,16 @@
 }
 
 // Head returns the head, if it is the next part.
-func (p Piece) Head() *wire.Head { return p.head }
+func (p Chunk) Head() *wire.Head { return p.head }
 
 // Offset returns the offset of Data in the body.
-func (p Piece) Offset() uint64 { return p.offset }
+func (p Chunk) Offset() uint64 { return p.offset }
 
 // Data returns body bytes; the caller must not modify them.
-func (p Piece) Data() []byte { return p.data }
+func (p Chunk) Data() []byte { return p.data }
 
 // End returns the end, if everything before it has been read.
-func (p Piece) End() *wire.End { return p.end }
+func (p Chunk) End() *wire.End { return p.end }
 
 // Buffer buffers the answer of one run. It is safe for one producer and any number
 // of readers.
@@ -117,8 +117,8 @@
 	b.notify()
 }
 
-// Ended returns the end, or nil while the answer is not finished.
-func (b *Buffer) Ended() *wire.End {
+// End returns the end, or nil while the answer is not finished.
+func (b *Buffer) End() *wire.End {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.end
@@ -151,7 +151,7 @@
 
 // Next blocks until the next part of the answer is available and returns it: the
 // head if needHead is set, then bytes from offset, then the end.
-func (b *Buffer) Next(ctx context.Context, needHead bool, offset uint64) (Piece, error) {
+func (b *Buffer) Next(ctx context.Context, needHead bool, offset uint64) (Chunk, error) {
 	for {
 		chunk, ready, changed, err := b.poll(needHead, offset)
 		if err != nil || ready {
@@ -160,30 +160,30 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return Piece{}, ctx.Err()
+			return Chunk{}, ctx.Err()
 		}
 	}
 }
 
-func (b *Buffer) poll(needHead bool, offset uint64) (Piece, bool, <-chan struct{}, error) {
+func (b *Buffer) poll(needHead bool, offset uint64) (Chunk, bool, <-chan struct{}, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if needHead && b.head != nil {
-		return Piece{head: b.head}, true, nil, nil
+		return Chunk{head: b.head}, true, nil, nil
 	}
 	if offset < b.baseOffset {
-		return Piece{}, false, nil, Gone.New("bytes from %d of %s were released at %d; only an answer of at most %d bytes can be read again", offset, b.requestID, b.baseOffset, b.retained)
+		return Chunk{}, false, nil, Gone.New("bytes from %d of %s were released at %d; only an answer of at most %d bytes can be read again", offset, b.requestID, b.baseOffset, b.retained)
 	}
 	produced := b.baseOffset + uint64(len(b.data))
 	if !needHead && offset < produced {
 		from := offset - b.baseOffset
 		to := min(from+maxChunkBytes, uint64(len(b.data)))
-		return Piece{offset: offset, data: b.data[from:to:to]}, true, nil, nil
+		return Chunk{offset: offset, data: b.data[from:to:to]}, true, nil, nil
 	}
 	if b.end != nil {
-		return Piece{end: b.end}, true, nil, nil
+		return Chunk{end: b.end}, true, nil, nil
 	}
-	return Piece{}, false, b.changed, nil
+	return Chunk{}, false, b.changed, nil
 }
 
 func (b *Buffer) unacked() int {
--- a/internal/upstream/answer/answer_test.go
+++ b/internal/upstream/answer/answer_test.go
@@ -69,5 +69,5 @@
 	b.Finish(wire.End_OUTCOME_ANSWERED, "")
 	b.Finish(wire.End_OUTCOME_FAILED, "")
 	require.Equal(t, 1, invariants.Total())
-	require.Equal(t, wire.End_OUTCOME_ANSWERED, b.Ended().GetOutcome())
+	require.Equal(t, wire.End_OUTCOME_ANSWERED, b.End().GetOutcome())
 }
--- a/internal/upstream/engine/engine.go
+++ b/internal/upstream/engine/engine.go
@@ -72,9 +72,9 @@
 // request did not run.
 func (r Result) Sent() bool { return r.sent }
 
-// Cut reports whether the connection failed before the answer was complete, as it
+// Truncated reports whether the connection failed before the answer was complete, as it
 // does when the upstream crashes.
-func (r Result) Cut() bool { return r.truncated }
+func (r Result) Truncated() bool { return r.truncated }
 
 // Status returns the HTTP status, or 0 if none was received.
 func (r Result) Status() int { return r.status }
@@ -191,25 +191,25 @@
 	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
-// Report is an engine's load report. Fields that the engine does not report are 0.
-type Report struct {
+// LoadReport is an engine's load report. Fields that the engine does not report are 0.
+type LoadReport struct {
 	CachedTokens int `json:"cached-tokens"`
 }
 
 // Load fetches the engine's load report.
-func (c *Client) Load(ctx context.Context) (Report, error) {
+func (c *Client) Load(ctx context.Context) (LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+"/load", nil)
 	if err != nil {
-		return Report{}, err
+		return LoadReport{}, err
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return Report{}, err
+		return LoadReport{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	var report Report
+	var report LoadReport
 	err = json.NewDecoder(io.LimitReader(response.Body, maxLoadReport)).Decode(&report)
 	return report, err
 }
--- a/internal/upstream/limit/limit.go
+++ b/internal/upstream/limit/limit.go
@@ -59,14 +59,14 @@
 // unknown.
 func (l *Limit) FirstToken() time.Duration { return l.meanFirstToken }
 
-// ObserveGap records a measured gap between tokens.
-func (l *Limit) ObserveGap(now time.Time, gap time.Duration) {
+// ObserveTokenGap records a measured gap between tokens.
+func (l *Limit) ObserveTokenGap(now time.Time, gap time.Duration) {
 	l.meanTokenGap = movingMean(l.meanTokenGap, gap)
 	l.adapt(now)
 }
 
-// ObserveFirst records a measured time from dispatch to first token.
-func (l *Limit) ObserveFirst(now time.Time, first time.Duration) {
+// ObserveFirstToken records a measured time from dispatch to first token.
+func (l *Limit) ObserveFirstToken(now time.Time, first time.Duration) {
 	l.meanFirstToken = movingMean(l.meanFirstToken, first)
 	l.adapt(now)
 }
--- a/internal/upstream/limit/limit_test.go
+++ b/internal/upstream/limit/limit_test.go
@@ -27,8 +27,8 @@
 	for range seconds * 20 {
 		now = now.Add(50 * time.Millisecond)
 		l.Saturated()
-		l.ObserveGap(now, e.gapAt(l.Current()))
-		l.ObserveFirst(now, e.gapAt(l.Current()))
+		l.ObserveTokenGap(now, e.gapAt(l.Current()))
+		l.ObserveFirstToken(now, e.gapAt(l.Current()))
 	}
 	return now
 }
@@ -69,7 +69,7 @@
 	now := start
 	for range 1000 {
 		now = now.Add(50 * time.Millisecond)
-		l.ObserveGap(now, time.Millisecond)
+		l.ObserveTokenGap(now, time.Millisecond)
 	}
 	require.Equal(t, 4, l.Current())
 }
--- a/internal/upstream/prefixcache/prefixcache.go
+++ b/internal/upstream/prefixcache/prefixcache.go
@@ -22,9 +22,9 @@
 	tokens int
 }
 
-// Guess is the estimated content of one cache, as an LRU list of prefixes. It is
+// Estimate is the estimated content of one cache, as an LRU list of prefixes. It is
 // not safe for concurrent use.
-type Guess struct {
+type Estimate struct {
 	capacityTokens int
 	usedTokens     int
 	order          *list.List
@@ -32,10 +32,10 @@
 }
 
 // New returns the estimate of an empty cache.
-func New() *Guess { return &Guess{order: list.New(), elements: make(map[uint64]*list.Element)} }
+func New() *Estimate { return &Estimate{order: list.New(), elements: make(map[uint64]*list.Element)} }
 
-// Used records that a prompt with the prefix was dispatched.
-func (g *Guess) Used(key uint64, tokens int) {
+// RecordUse records that a prompt with the prefix was dispatched.
+func (g *Estimate) RecordUse(key uint64, tokens int) {
 	if element, ok := g.elements[key]; ok {
 		g.order.MoveToFront(element)
 		return
@@ -45,35 +45,35 @@
 	g.evict()
 }
 
-// Reported records the number of cached tokens that the engine reported. The
+// RecordCachedTokens records the number of cached tokens that the engine reported. The
 // maximum is used as the cache size, because a cache that is not full reports
 // less than its size.
-func (g *Guess) Reported(tokens int) {
+func (g *Estimate) RecordCachedTokens(tokens int) {
 	g.capacityTokens = max(g.capacityTokens, tokens)
 	g.evict()
 }
 
-// Lost removes all prefixes after the engine was restarted.
-func (g *Guess) Lost() {
+// Reset removes all prefixes after the engine was restarted.
+func (g *Estimate) Reset() {
 	g.order.Init()
 	g.elements = make(map[uint64]*list.Element)
 	g.usedTokens = 0
 }
 
-// Told returns the shortened keys of the most recently used prefixes, most recent
+// RecentKeys returns the shortened keys of the most recently used prefixes, most recent
 // first.
-func (g *Guess) Told() []uint32 {
+func (g *Estimate) RecentKeys() []uint32 {
 	keys := make([]uint32, 0, min(g.order.Len(), maxRecentKeys))
 	for element := g.order.Front(); element != nil && len(keys) < maxRecentKeys; element = element.Next() {
-		keys = append(keys, Mark(element.Value.(prefix).key))
+		keys = append(keys, ShortKey(element.Value.(prefix).key))
 	}
 	return keys
 }
 
-// Mark shortens a key for transmission. A collision only makes the estimate wrong.
-func Mark(key uint64) uint32 { return uint32(key>>32) ^ uint32(key) }
+// ShortKey shortens a key for transmission. A collision only makes the estimate wrong.
+func ShortKey(key uint64) uint32 { return uint32(key>>32) ^ uint32(key) }
 
-func (g *Guess) evict() {
+func (g *Estimate) evict() {
 	capacity := g.capacityTokens
 	if capacity == 0 {
 		capacity = defaultCapacityTokens
--- a/internal/upstream/prefixcache/prefixcache_test.go
+++ b/internal/upstream/prefixcache/prefixcache_test.go
@@ -12,23 +12,23 @@
 // to an engine that has already evicted their prefix.
 func TestEstimateEvictsLikeTheCache(t *testing.T) {
 	g := prefixcache.New()
-	g.Reported(3000)
+	g.RecordCachedTokens(3000)
 	for key := range uint64(4) {
-		g.Used(key, 1000)
+		g.RecordUse(key, 1000)
 	}
-	require.Equal(t, []uint32{3, 2, 1}, g.Told())
-	g.Used(1, 1000)
-	require.Equal(t, []uint32{1, 3, 2}, g.Told())
-	g.Lost()
-	require.Empty(t, g.Told())
+	require.Equal(t, []uint32{3, 2, 1}, g.RecentKeys())
+	g.RecordUse(1, 1000)
+	require.Equal(t, []uint32{1, 3, 2}, g.RecentKeys())
+	g.Reset()
+	require.Empty(t, g.RecentKeys())
 }
 
 // A load report of a partly filled cache must not reduce the estimated cache size.
 func TestHighestReportIsTheCapacity(t *testing.T) {
 	g := prefixcache.New()
-	g.Reported(3000)
-	g.Reported(10)
-	g.Used(1, 1500)
-	g.Used(2, 1500)
-	require.Len(t, g.Told(), 2)
+	g.RecordCachedTokens(3000)
+	g.RecordCachedTokens(10)
+	g.RecordUse(1, 1500)
+	g.RecordUse(2, 1500)
+	require.Len(t, g.RecentKeys(), 2)
 }
--- a/internal/upstream/suspect/suspect.go
+++ b/internal/upstream/suspect/suspect.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Standing is the status of a fingerprint.
-type Standing int
+// Status is the status of a fingerprint.
+type Status int
 
 // The standings.
 const (
-	Innocent Standing = iota
+	NotSuspected Status = iota
 	Suspected
 	Convicted
 )
@@ -59,19 +59,19 @@
 // Fingerprints returns the fingerprints of the running requests, sorted.
 func (c Crash) Fingerprints() []uint64 { return c.fingerprints }
 
-// Register records crashes and convictions. It is safe for concurrent use.
-type Register struct {
+// Registry records crashes and convictions. It is safe for concurrent use.
+type Registry struct {
 	mu        sync.Mutex
 	crashes   []Crash
 	convicted map[uint64]time.Time
 }
 
 // New returns a registry without crashes.
-func New() *Register { return &Register{convicted: make(map[uint64]time.Time)} }
+func New() *Registry { return &Registry{convicted: make(map[uint64]time.Time)} }
 
-// Learn records a crash that was observed here or reported by a peer, and returns
+// Record records a crash that was observed here or reported by a peer, and returns
 // whether it added anything. Partial reports of one crash are merged by its ID.
-func (r *Register) Learn(now time.Time, crash Crash) bool {
+func (r *Registry) Record(now time.Time, crash Crash) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
@@ -87,7 +87,7 @@
 	return true
 }
 
-func (r *Register) merge(crash Crash) (Crash, bool) {
+func (r *Registry) merge(crash Crash) (Crash, bool) {
 	for i, known := range r.crashes {
 		if known.id != crash.id {
 			continue
@@ -107,7 +107,7 @@
 	return crash, true
 }
 
-func (r *Register) convictCommon(now time.Time, a, b Crash) {
+func (r *Registry) convictCommon(now time.Time, a, b Crash) {
 	var common []uint64
 	for _, fingerprint := range a.fingerprints {
 		if slices.Contains(b.fingerprints, fingerprint) {
@@ -124,7 +124,7 @@
 
 // Clear removes the fingerprint from all recorded crashes, because it ran alone
 // and finished without a crash.
-func (r *Register) Clear(fingerprint uint64) {
+func (r *Registry) Clear(fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range r.crashes {
@@ -133,12 +133,12 @@
 	}
 }
 
-// Standing returns the status of the fingerprint.
-func (r *Register) Standing(now time.Time, fingerprint uint64) Standing {
+// Status returns the status of the fingerprint.
+func (r *Registry) Status(now time.Time, fingerprint uint64) Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.crashes) == 0 && len(r.convicted) == 0 {
-		return Innocent
+		return NotSuspected
 	}
 	r.expire(now)
 	if _, ok := r.convicted[fingerprint]; ok {
@@ -149,11 +149,11 @@
 			return Suspected
 		}
 	}
-	return Innocent
+	return NotSuspected
 }
 
 // Crashes returns all recorded crashes, oldest first, for reporting to peers.
-func (r *Register) Crashes(now time.Time) []Crash {
+func (r *Registry) Crashes(now time.Time) []Crash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
@@ -161,14 +161,14 @@
 }
 
 // Convicted returns the number of convicted fingerprints.
-func (r *Register) Convicted(now time.Time) int {
+func (r *Registry) Convicted(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(now)
 	return len(r.convicted)
 }
 
-func (r *Register) expire(now time.Time) {
+func (r *Registry) expire(now time.Time) {
 	r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool { return now.Sub(c.at) > crashRetention })
 	for fingerprint, at := range r.convicted {
 		if now.Sub(at) > convictionRetention {
--- a/internal/upstream/suspect/suspect_test.go
+++ b/internal/upstream/suspect/suspect_test.go
@@ -17,22 +17,22 @@
 	cases := []struct {
 		name    string
 		crashes [][]uint64
-		want    map[uint64]suspect.Standing
+		want    map[uint64]suspect.Status
 	}{
-		{"after one crash all running requests are suspect", [][]uint64{{guilty, innocent}}, map[uint64]suspect.Standing{guilty: suspect.Suspected, innocent: suspect.Suspected}},
-		{"the only fingerprint in both crashes is convicted", [][]uint64{{guilty, innocent}, {guilty, other}}, map[uint64]suspect.Standing{guilty: suspect.Convicted, innocent: suspect.Suspected, other: suspect.Suspected}},
-		{"two common fingerprints are not enough", [][]uint64{{guilty, innocent}, {guilty, innocent}}, map[uint64]suspect.Standing{guilty: suspect.Suspected, innocent: suspect.Suspected}},
-		{"a third crash of a request that ran alone convicts it", [][]uint64{{guilty, innocent}, {guilty, innocent}, {guilty}}, map[uint64]suspect.Standing{guilty: suspect.Convicted, innocent: suspect.Suspected}},
-		{"a request that was not running is not suspect", [][]uint64{{guilty}}, map[uint64]suspect.Standing{other: suspect.Innocent}},
+		{"after one crash all running requests are suspect", [][]uint64{{guilty, innocent}}, map[uint64]suspect.Status{guilty: suspect.Suspected, innocent: suspect.Suspected}},
+		{"the only fingerprint in both crashes is convicted", [][]uint64{{guilty, innocent}, {guilty, other}}, map[uint64]suspect.Status{guilty: suspect.Convicted, innocent: suspect.Suspected, other: suspect.Suspected}},
+		{"two common fingerprints are not enough", [][]uint64{{guilty, innocent}, {guilty, innocent}}, map[uint64]suspect.Status{guilty: suspect.Suspected, innocent: suspect.Suspected}},
+		{"a third crash of a request that ran alone convicts it", [][]uint64{{guilty, innocent}, {guilty, innocent}, {guilty}}, map[uint64]suspect.Status{guilty: suspect.Convicted, innocent: suspect.Suspected}},
+		{"a request that was not running is not suspect", [][]uint64{{guilty}}, map[uint64]suspect.Status{other: suspect.NotSuspected}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := suspect.New()
 			for id, running := range c.crashes {
-				require.True(t, r.Learn(start, suspect.NewCrash(uint64(id+1), start, running)))
+				require.True(t, r.Record(start, suspect.NewCrash(uint64(id+1), start, running)))
 			}
 			for fingerprint, want := range c.want {
-				require.Equal(t, want, r.Standing(start, fingerprint))
+				require.Equal(t, want, r.Status(start, fingerprint))
 			}
 		})
 	}
@@ -42,24 +42,24 @@
 // agent and two entries report it and it counts as three crashes.
 func TestRepeatedReportsOfOneCrashCountOnce(t *testing.T) {
 	r := suspect.New()
-	require.True(t, r.Learn(start, suspect.NewCrash(7, start, []uint64{1})))
-	require.False(t, r.Learn(start, suspect.NewCrash(7, start, []uint64{1})))
-	require.True(t, r.Learn(start, suspect.NewCrash(7, start, []uint64{1, 2})), "the second fingerprint is new")
-	require.Equal(t, suspect.Suspected, r.Standing(start, 1))
+	require.True(t, r.Record(start, suspect.NewCrash(7, start, []uint64{1})))
+	require.False(t, r.Record(start, suspect.NewCrash(7, start, []uint64{1})))
+	require.True(t, r.Record(start, suspect.NewCrash(7, start, []uint64{1, 2})), "the second fingerprint is new")
+	require.Equal(t, suspect.Suspected, r.Status(start, 1))
 }
 
 func TestClearAndExpiry(t *testing.T) {
 	r := suspect.New()
-	r.Learn(start, suspect.NewCrash(1, start, []uint64{1, 2}))
+	r.Record(start, suspect.NewCrash(1, start, []uint64{1, 2}))
 	r.Clear(1)
-	require.Equal(t, suspect.Innocent, r.Standing(start, 1))
-	require.Equal(t, suspect.Innocent, r.Standing(start.Add(time.Hour), 2))
+	require.Equal(t, suspect.NotSuspected, r.Status(start, 1))
+	require.Equal(t, suspect.NotSuspected, r.Status(start.Add(time.Hour), 2))
 }
 
 func TestStateIsBounded(t *testing.T) {
 	r := suspect.New()
 	for i := range uint64(2000) {
-		r.Learn(start, suspect.NewCrash(i, start, []uint64{i, i + 1}))
+		r.Record(start, suspect.NewCrash(i, start, []uint64{i, i + 1}))
 	}
 	require.LessOrEqual(t, len(r.Crashes(start)), 256)
 	require.LessOrEqual(t, r.Convicted(start), 4096)
--- a/internal/version/evidence/evidence_test.go
+++ b/internal/version/evidence/evidence_test.go
@@ -95,11 +95,11 @@
 // hundred, and must trip within ten runs of a version that always fails.
 func TestBrake(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	tolerant := evidence.NewBrake()
+	tolerant := evidence.NewBreaker()
 	for range 1_000_000 {
 		require.False(t, tolerant.Observe("w/a", random.Float64() < 0.01))
 	}
-	tripping := evidence.NewBrake()
+	tripping := evidence.NewBreaker()
 	for i := 1; !tripping.Observe("w/a", true); i++ {
 		require.Less(t, i, 10)
 	}
--- a/internal/version/evidence/watch.go
+++ b/internal/version/evidence/watch.go
@@ -25,19 +25,19 @@
 	allRoutes = ""
 )
 
-// Brake is a circuit breaker of one agent or entry for one version, with a CUSUM
+// Breaker is a circuit breaker of one agent or entry for one version, with a CUSUM
 // detector per route that is updated after every run. The zero value is not usable;
 // see NewBrake. It is not safe for concurrent use.
-type Brake struct {
+type Breaker struct {
 	scores map[string]float64
 }
 
-// NewBrake returns a circuit breaker without runs.
-func NewBrake() *Brake { return &Brake{scores: make(map[string]float64)} }
+// NewBreaker returns a circuit breaker without runs.
+func NewBreaker() *Breaker { return &Breaker{scores: make(map[string]float64)} }
 
 // Observe takes one run into account and reports whether the version must be
 // stopped.
-func (b *Brake) Observe(route string, failed bool) bool {
+func (b *Breaker) Observe(route string, failed bool) bool {
 	step := math.Log((1 - brakeRate) / (1 - toleratedRate))
 	if failed {
 		step = math.Log(brakeRate / toleratedRate)
--- a/internal/version/move/move.go
+++ b/internal/version/move/move.go
@@ -64,9 +64,9 @@
 		return state, false
 	}
 	if why, bad := fault(m, o); bad {
-		return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why), true
+		return document.NewMoveState(state.Stage(), 0, document.RolledBack, now, why), true
 	}
-	if now.After(m.By()) {
+	if now.After(m.Deadline()) {
 		return stepLate(now, m, state, o)
 	}
 	return advance(now, m, state, o)
@@ -76,8 +76,8 @@
 	if now.Before(m.Start()) {
 		return document.MoveState{}, false
 	}
-	if now.After(m.By()) {
-		return document.NewMoveState(0, 0, document.TakenBack, now, "the deadline passed before the move began; set a later one"), true
+	if now.After(m.Deadline()) {
+		return document.NewMoveState(0, 0, document.RolledBack, now, "the deadline passed before the move began; set a later one"), true
 	}
 	if !o.Ready {
 		return document.MoveState{}, false
@@ -117,7 +117,7 @@
 // version failed, because little traffic must not keep a good version from
 // completing.
 func advance(now time.Time, m rules.Move, state document.MoveState, o Observed) (document.MoveState, bool) {
-	span, plan := m.By().Sub(m.Start()), stages[state.Stage()]
+	span, plan := m.Deadline().Sub(m.Start()), stages[state.Stage()]
 	tooEarly := now.Before(m.Start().Add(fractionOf(span, plan.earliest))) || now.Sub(state.Since()) < fractionOf(span, minStageFraction)
 	candidate := o.Stage.Total(m.To())
 	latestReached := !now.Before(m.Start().Add(fractionOf(span, plan.latest)))
@@ -144,7 +144,7 @@
 // would see no more failures and take the version for healthy.
 func Stopped(now time.Time, m rules.Move, state document.MoveState, who string) document.MoveState {
 	why := fmt.Sprintf("%s fails: %s stopped sending to it on what its own callers saw", m.To(), who)
-	return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why)
+	return document.NewMoveState(state.Stage(), 0, document.RolledBack, now, why)
 }
 
 // stepLate applies the if-late rule to a move that did not meet its deadline.
@@ -154,7 +154,7 @@
 	}
 	total := o.All.Total(m.To())
 	why := fmt.Sprintf("not enough evidence by the deadline: %d runs of %s, %d failed", total.Runs(), m.To(), total.Failures())
-	return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why), true
+	return document.NewMoveState(state.Stage(), 0, document.RolledBack, now, why), true
 }
 
 // advanceLate advances a held move, but only on good evidence.
@@ -169,8 +169,8 @@
 // has the minimum duration, so that one that cannot is reported early.
 func Fits(now time.Time, m rules.Move, state document.MoveState) bool {
 	remaining := len(stages) - state.Stage()
-	required := time.Duration(remaining) * fractionOf(m.By().Sub(m.Start()), minStageFraction)
-	return !now.Add(required).After(m.By())
+	required := time.Duration(remaining) * fractionOf(m.Deadline().Sub(m.Start()), minStageFraction)
+	return !now.Add(required).After(m.Deadline())
 }
 
 // Chosen reports whether a request belongs to the share of the new version. It
