--- a/cmd/persimmonridge/measure_moves.go
+++ b/cmd/persimmonridge/measure_moves.go
@@ -21,7 +21,7 @@
 func (c *movesCommand) Run() error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "trouble\tversion\tmoves\tcompleted in time\ttaken back\topen\tharmed, mean\tharmed, worst\tshare while faulty, worst\tfirst fault to none, p50\tworst")
-	for _, trouble := range moves.Troubles() {
+	for _, trouble := range moves.Disturbances() {
 		for _, kind := range moves.Kinds() {
 			if err := c.row(table, trouble, kind); err != nil {
 				return err
@@ -31,12 +31,12 @@
 	return table.Flush()
 }
 
-func (c *movesCommand) row(table *tabwriter.Writer, trouble moves.Trouble, kind moves.Kind) error {
+func (c *movesCommand) row(table *tabwriter.Writer, trouble moves.Disturbance, kind moves.Kind) error {
 	completed, takenBack, open, harmed, worstHarm := 0, 0, 0, 0, 0
 	share := 0.0
 	var times []time.Duration
 	for seed := range c.Seeds {
-		o, err := moves.Run(moves.Setting{Seed: uint64(seed + 1), Kind: kind, Trouble: trouble, Rate: c.Rate, Span: c.Span})
+		o, err := moves.Run(moves.Setting{Seed: uint64(seed + 1), Kind: kind, Disturbance: trouble, Rate: c.Rate, Span: c.Span})
 		if err != nil {
 			return err
 		}
@@ -48,10 +48,10 @@
 		default:
 			open++
 		}
-		harmed += o.Harmed
-		worstHarm = max(worstHarm, o.Harmed)
-		share = max(share, o.MostShare)
-		times = append(times, o.FaultToNone)
+		harmed += o.Affected
+		worstHarm = max(worstHarm, o.Affected)
+		share = max(share, o.MaxFaultyShare)
+		times = append(times, o.FaultToLastRequest)
 	}
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
 	fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.0f%%\t%s\t%s\n", trouble, kind, c.Seeds, completed, takenBack, open,
--- a/cmd/persimmonridge/standin.go
+++ b/cmd/persimmonridge/standin.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	server := service.New(listener, service.Settings{Delay: time.Duration(s.DelayMS) * time.Millisecond}, service.NewLedger())
+	server := service.New(listener, service.Settings{Delay: time.Duration(s.DelayMS) * time.Millisecond}, service.NewEffectCounter())
 	<-ctx.Done()
 	return server.Close()
 }
--- a/cmd/persimmonridge/try.go
+++ b/cmd/persimmonridge/try.go
@@ -36,11 +36,11 @@
 	if err != nil {
 		return err
 	}
-	shape, err := fleet.ShapeOf(inventoryFile, rulesFile, c.Seed)
+	shape, err := fleet.NewSpec(inventoryFile, rulesFile, c.Seed)
 	if err != nil {
 		return err
 	}
-	plan, tiers, err := fleet.PlanOf(shape, c.Duration)
+	plan, tiers, err := fleet.NewLoadPlan(shape, c.Duration)
 	if err != nil {
 		return err
 	}
--- a/internal/action/claim/owner_test.go
+++ b/internal/action/claim/owner_test.go
@@ -84,7 +84,7 @@
 					}
 				})
 			}
-			bubble.Pass(5 * time.Millisecond)
+			bubble.Sleep(5 * time.Millisecond)
 		}
 		pending.Wait()
 		require.Len(t, grants, 200)
@@ -114,7 +114,7 @@
 		var pending sync.WaitGroup
 		for i := range 1000 {
 			pending.Go(func() { owner.Handle(ctx, claimAsk(fmt.Sprint(i), fmt.Sprint("r", i))) })
-			bubble.Pass(time.Millisecond)
+			bubble.Sleep(time.Millisecond)
 		}
 		pending.Wait()
 		commits, records := owner.Commits()
--- a/internal/caller/refusal/refusal.go
+++ b/internal/caller/refusal/refusal.go
@@ -15,21 +15,21 @@
 
 // Kinds of refusals.
 const (
-	BadRequest    Kind = "bad-request"
-	UnknownName   Kind = "unknown-name"
-	KeyRequired   Kind = "key-required"
-	KeyMismatch   Kind = "key-mismatch"
-	TooLarge      Kind = "too-large"
-	Overloaded    Kind = "overloaded"
-	TooLate       Kind = "too-late"
-	NoUpstream    Kind = "no-upstream"
-	Convicted     Kind = "crashes-upstreams"
-	StoreDown     Kind = "claims-unavailable"
-	NotConfigured Kind = "not-configured"
-	Leaving       Kind = "leaving"
-	Lost          Kind = "lost"
-	Failed        Kind = "failed"
-	Unfinished    Kind = "unfinished"
+	BadRequest        Kind = "bad-request"
+	UnknownName       Kind = "unknown-name"
+	KeyRequired       Kind = "key-required"
+	KeyMismatch       Kind = "key-mismatch"
+	TooLarge          Kind = "too-large"
+	Overloaded        Kind = "overloaded"
+	TooLate           Kind = "too-late"
+	NoUpstream        Kind = "no-upstream"
+	CrashesUpstreams  Kind = "crashes-upstreams"
+	ClaimsUnavailable Kind = "claims-unavailable"
+	NotConfigured     Kind = "not-configured"
+	Leaving           Kind = "leaving"
+	Lost              Kind = "lost"
+	Failed            Kind = "failed"
+	Unfinished        Kind = "unfinished"
 )
 
 // Ran states whether the request was run.
@@ -76,21 +76,21 @@
 
 // statusByKind maps each kind to its HTTP status.
 var statusByKind = map[Kind]int{
-	BadRequest:    http.StatusBadRequest,
-	UnknownName:   http.StatusNotFound,
-	KeyRequired:   http.StatusBadRequest,
-	KeyMismatch:   http.StatusUnprocessableEntity,
-	TooLarge:      http.StatusRequestEntityTooLarge,
-	Overloaded:    http.StatusTooManyRequests,
-	TooLate:       http.StatusServiceUnavailable,
-	NoUpstream:    http.StatusServiceUnavailable,
-	Convicted:     http.StatusUnprocessableEntity,
-	StoreDown:     http.StatusServiceUnavailable,
-	NotConfigured: http.StatusServiceUnavailable,
-	Leaving:       http.StatusServiceUnavailable,
-	Lost:          http.StatusBadGateway,
-	Failed:        http.StatusBadGateway,
-	Unfinished:    http.StatusConflict,
+	BadRequest:        http.StatusBadRequest,
+	UnknownName:       http.StatusNotFound,
+	KeyRequired:       http.StatusBadRequest,
+	KeyMismatch:       http.StatusUnprocessableEntity,
+	TooLarge:          http.StatusRequestEntityTooLarge,
+	Overloaded:        http.StatusTooManyRequests,
+	TooLate:           http.StatusServiceUnavailable,
+	NoUpstream:        http.StatusServiceUnavailable,
+	CrashesUpstreams:  http.StatusUnprocessableEntity,
+	ClaimsUnavailable: http.StatusServiceUnavailable,
+	NotConfigured:     http.StatusServiceUnavailable,
+	Leaving:           http.StatusServiceUnavailable,
+	Lost:              http.StatusBadGateway,
+	Failed:            http.StatusBadGateway,
+	Unfinished:        http.StatusConflict,
 }
 
 // Status returns the HTTP status.
--- a/internal/caller/request/request.go
+++ b/internal/caller/request/request.go
@@ -35,8 +35,8 @@
 const ChatPath = "/v1/chat/completions"
 
 const (
-	// MaxBody is the maximum size of a request body in bytes.
-	MaxBody = 1 << 20
+	// MaxBodyBytes is the maximum size of a request body in bytes.
+	MaxBodyBytes = 1 << 20
 	// maxKeyBytes is the maximum length of an idempotency key.
 	maxKeyBytes = 255
 	// maxDeadline is the longest deadline that a caller may set.
@@ -89,10 +89,10 @@
 }
 
 func readBody(r *http.Request) ([]byte, *refusal.Refusal) {
-	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return nil, refusal.New(refusal.TooLarge, refusal.NotRun, "the body is larger than "+strconv.Itoa(MaxBody)+" bytes", "send a smaller one")
+		return nil, refusal.New(refusal.TooLarge, refusal.NotRun, "the body is larger than "+strconv.Itoa(MaxBodyBytes)+" bytes", "send a smaller one")
 	}
 	if err != nil {
 		return nil, refusal.New(refusal.BadRequest, refusal.NotRun, "the body could not be read", "send the request again")
--- a/internal/caller/request/request_test.go
+++ b/internal/caller/request/request_test.go
@@ -70,7 +70,7 @@
 }
 
 func TestTooLargeBodyIsRefused(t *testing.T) {
-	r := httptest.NewRequest(http.MethodPost, request.ChatPath, bytes.NewReader(make([]byte, request.MaxBody+1)))
+	r := httptest.NewRequest(http.MethodPost, request.ChatPath, bytes.NewReader(make([]byte, request.MaxBodyBytes+1)))
 	_, refused := request.Read(now, "id", r, cairoDocument(t))
 	require.Equal(t, refusal.TooLarge, refused.Kind())
 	require.Equal(t, http.StatusRequestEntityTooLarge, refused.Status())
--- a/internal/config/changelog/changelog_test.go
+++ b/internal/config/changelog/changelog_test.go
@@ -127,8 +127,8 @@
 			}
 		}
 		cancel()
-		require.False(t, errorx.IsOfType(err, store.Unclear), "%v", err)
-		bubble.Pass(50 * time.Millisecond)
+		require.False(t, errorx.IsOfType(err, store.Indeterminate), "%v", err)
+		bubble.Sleep(50 * time.Millisecond)
 	}
 }
 
@@ -152,11 +152,11 @@
 			submitUntilAccepted(t, s, 0, i)
 			if i == 20 {
 				env.platform.Store().SetFaults(kv.Faults{Outage: true})
-				bubble.Pass(30 * time.Second)
+				bubble.Sleep(30 * time.Second)
 				env.platform.Store().SetFaults(kv.Faults{})
 			}
 		}
-		bubble.Pass(8 * time.Second)
+		bubble.Sleep(8 * time.Second)
 		for _, log := range logs {
 			require.Equal(t, uint64(41), log.Revision())
 		}
--- a/internal/config/changelog/submit.go
+++ b/internal/config/changelog/submit.go
@@ -164,7 +164,7 @@
 			return s.determineOutcome(ctx, record, change)
 		}
 		if pauseErr := backoff(ctx, attempt); pauseErr != nil {
-			return store.Unclear.Wrap(err, "change %s may or may not be accepted; run audit and look for its mark before trying again", record.mark)
+			return store.Indeterminate.Wrap(err, "change %s may or may not be accepted; run audit and look for its mark before trying again", record.mark)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 			}
 		}
 		if pauseErr := backoff(ctx, attempt); pauseErr != nil {
-			return store.Unclear.Wrap(pauseErr, "change %s may or may not be accepted; run audit and look for its mark before trying again", record.mark)
+			return store.Indeterminate.Wrap(pauseErr, "change %s may or may not be accepted; run audit and look for its mark before trying again", record.mark)
 		}
 	}
 }
--- a/internal/edge/ingress/fixture_test.go
+++ b/internal/edge/ingress/fixture_test.go
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	l.fixture.accepted.Add(1)
-	bubble.Pass(l.fixture.delay)
+	bubble.Sleep(l.fixture.delay)
 	return delayedConn{Conn: conn, fixture: l.fixture}, nil
 }
 
@@ -151,7 +151,7 @@
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.fixture.recordRead(string(p[:n]))
-		bubble.Pass(c.fixture.delay)
+		bubble.Sleep(c.fixture.delay)
 	}
 	return n, err
 }
--- a/internal/edge/ingress/ingress_test.go
+++ b/internal/edge/ingress/ingress_test.go
@@ -31,7 +31,7 @@
 			c := f.dial()
 			_, err := c.call()
 			require.NoError(t, err)
-			bubble.Pass(idleLimit + offset)
+			bubble.Sleep(idleLimit + offset)
 			path, err := c.call()
 			require.False(t, c.readButUnanswered(path, err), "sent %v after the limit: %v", offset, err)
 			if offset < 0 {
@@ -61,7 +61,7 @@
 				var lost atomic.Int64
 				for i, c := range callers {
 					wg.Go(func() {
-						bubble.Pass(ingress.ShutdownLinger - 300*time.Millisecond + time.Duration(i)*5*time.Millisecond)
+						bubble.Sleep(ingress.ShutdownLinger - 300*time.Millisecond + time.Duration(i)*5*time.Millisecond)
 						if c.readButUnanswered(c.call()) {
 							lost.Add(1)
 						}
@@ -110,7 +110,7 @@
 			c.fixture.setIdleLimit(d)
 			return
 		}
-		bubble.Pass(d)
+		bubble.Sleep(d)
 	case "call":
 		_, err := c.call()
 		// The connection must be idle again before the next step.
@@ -133,7 +133,7 @@
 			_, err := c.call()
 			callErr <- err
 		}()
-		bubble.Pass(handlerTime / 2)
+		bubble.Sleep(handlerTime / 2)
 		f.stopOnce.Do(func() { require.NoError(t, f.server.Shutdown(ctx)) })
 		require.Error(t, <-callErr)
 		require.NoError(t, <-f.serveDone)
@@ -221,7 +221,7 @@
 				c := f.dial()
 				_, err := c.call()
 				require.NoError(t, err)
-				bubble.Pass(time.Second)
+				bubble.Sleep(time.Second)
 				require.NoError(t, c.write(piece))
 				startedAt := time.Now()
 				require.NoError(t, c.conn.SetReadDeadline(startedAt.Add(time.Hour)))
@@ -240,7 +240,7 @@
 		runServer(t, 10*time.Millisecond, func(f *fixture) {
 			callErr := make(chan error, 1)
 			go func() {
-				bubble.Pass(ingress.ShutdownLinger + offset)
+				bubble.Sleep(ingress.ShutdownLinger + offset)
 				c := f.tryDial()
 				if c == nil {
 					callErr <- nil
@@ -268,7 +268,7 @@
 				require.NoError(t, err)
 				startedAt := time.Now()
 				go func() {
-					bubble.Pass(ingress.ShutdownLinger - time.Second)
+					bubble.Sleep(ingress.ShutdownLinger - time.Second)
 					_ = c.write(piece)
 				}()
 				f.stop()
@@ -309,12 +309,12 @@
 				if !first {
 					_, err := c.call()
 					require.NoError(t, err)
-					bubble.Pass(time.Second)
+					bubble.Sleep(time.Second)
 				}
 				startedAt := time.Now()
 				for _, piece := range []string{"GET / HTTP/1.1\r\n", "Host: h\r\n", "X: a"} {
 					require.NoError(t, c.write(piece))
-					bubble.Pass(limit / 4)
+					bubble.Sleep(limit / 4)
 				}
 				require.NoError(t, c.conn.SetReadDeadline(startedAt.Add(time.Hour)))
 				_, err := io.ReadAll(c.reader)
--- a/internal/fleet/control/control_test.go
+++ b/internal/fleet/control/control_test.go
@@ -101,12 +101,12 @@
 		changes := records(t, 3)
 		entry, agent := newNode(), newNode()
 		connect(t, entry, agent)
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		for _, record := range changes {
 			require.NoError(t, entry.log.Apply(nil, []changelog.Record{record}))
-			bubble.Pass(100 * time.Millisecond)
+			bubble.Sleep(100 * time.Millisecond)
 		}
-		bubble.Pass(7 * time.Second)
+		bubble.Sleep(7 * time.Second)
 		require.Equal(t, uint64(3), agent.log.Revision())
 	})
 }
@@ -119,7 +119,7 @@
 		entry, agent := newNode(), newNode()
 		require.NoError(t, agent.log.Apply(nil, records(t, 2)))
 		connect(t, entry, agent)
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		require.Equal(t, uint64(2), entry.log.Revision())
 	})
 }
@@ -134,7 +134,7 @@
 		address := connect(t, entry, agent)
 		require.NoError(t, entry.log.Apply(nil, changes))
 		entry.peer.ReportRevision(address, 0)
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		require.Equal(t, uint64(2), agent.log.Revision())
 	})
 }
@@ -154,14 +154,14 @@
 			entry.evidenceReceived.Store(0)
 			for range 100 {
 				agent.evidence.Raise()
-				bubble.Pass(100 * time.Millisecond)
+				bubble.Sleep(100 * time.Millisecond)
 			}
 			return entry.evidenceReceived.Load()
 		}
 		require.Zero(t, count())
 		wanted.Store(2000)
 		entry.changed.Raise()
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 		require.InDelta(t, 5, count(), 1, "notices with evidence in 10 s at an interval of 2 s")
 	})
 }
@@ -171,10 +171,10 @@
 	bubble.Run(t, func(t *testing.T) {
 		entry, agent := newNode(), newNode()
 		connect(t, entry, agent)
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 		agent.suspects.Record(time.Now(), suspect.NewCrash(1, time.Now(), []uint64{7}))
 		agent.changed.Raise()
-		bubble.Pass(100 * time.Millisecond)
+		bubble.Sleep(100 * time.Millisecond)
 		require.Equal(t, suspect.Suspected, entry.suspects.Status(time.Now(), 7))
 	})
 }
--- a/internal/fleet/link/stream_test.go
+++ b/internal/fleet/link/stream_test.go
@@ -139,7 +139,7 @@
 		require.NoError(t, err)
 		failing := &failingListener{Listener: listener}
 		server := link.Serve(failing, echo)
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 		require.LessOrEqual(t, failing.attempts.Load(), int64(51))
 		require.NoError(t, server.Close())
 	})
--- a/internal/fleet/mesh/agree_test.go
+++ b/internal/fleet/mesh/agree_test.go
@@ -28,7 +28,7 @@
 // for all processes, and returns how long that took.
 func waitForAgreement(t *testing.T, all []*process, rank int64) time.Duration {
 	const step, limit = 10 * time.Millisecond, 20 * time.Second
-	for started := time.Now(); time.Since(started) < limit; bubble.Pass(step) {
+	for started := time.Now(); time.Since(started) < limit; bubble.Sleep(step) {
 		agreed := true
 		for _, p := range all {
 			agreed = agreed && p.scheduler(time.Now()) == rank
@@ -56,8 +56,8 @@
 			}
 			all := make([]*process, 0, size)
 			for _, i := range order {
-				bubble.Pass(time.Duration(random.IntN(2*startPeriodMs/size)) * time.Millisecond)
-				n.Return(gatewayName(i))
+				bubble.Sleep(time.Duration(random.IntN(2*startPeriodMs/size)) * time.Millisecond)
+				n.Restore(gatewayName(i))
 				p := startProcess(t, n, gatewayName(i), uint64(i+1), &wire.Gossip{Rank: int64(i + 1), Ready: true})
 				for other := range size {
 					p.mesh.AddRankedPeer(time.Now(), gatewayName(other), int64(other+1))
@@ -87,7 +87,7 @@
 		bubble.Run(t, func(t *testing.T) {
 			n := network.New()
 			all := startFleet(t, n, size)
-			bubble.Pass(5 * time.Second)
+			bubble.Sleep(5 * time.Second)
 			for i := range lost {
 				n.Vanish(gatewayName(i))
 				all[i].stop()
--- a/internal/fleet/mesh/herd_test.go
+++ b/internal/fleet/mesh/herd_test.go
@@ -26,9 +26,9 @@
 		var all []*process
 		for i := range size {
 			all = append(all, startProcess(t, n, name(i), uint64(i+1), &wire.Gossip{Rank: int64(i + 1), Ready: true}, peers...))
-			bubble.Pass(startInterval)
+			bubble.Sleep(startInterval)
 		}
-		bubble.Pass(120 * time.Millisecond)
+		bubble.Sleep(120 * time.Millisecond)
 		for i := 1; i < size; i++ {
 			first, _ := all[i].handler.gossipFrom(name(0))
 			require.NotNil(t, first, "gateway %d has not heard the gateway of lowest rank", i)
--- a/internal/fleet/mesh/hubs_test.go
+++ b/internal/fleet/mesh/hubs_test.go
@@ -42,13 +42,13 @@
 	for _, size := range []int{25, 68, 140} {
 		bubble.Run(t, func(t *testing.T) {
 			all := startFleet(t, network.New(), size)
-			bubble.Pass(5 * time.Second)
+			bubble.Sleep(5 * time.Second)
 			before := make([]int, size)
 			for i, p := range all {
 				before[i] = p.gossipCount()
 			}
 			const seconds = 10
-			bubble.Pass(seconds * time.Second)
+			bubble.Sleep(seconds * time.Second)
 			for i, p := range all {
 				perSecond := float64(p.gossipCount()-before[i]) / seconds
 				if i < hubs {
@@ -72,12 +72,12 @@
 		const size, lost = 68, 23
 		n := network.New()
 		all := startFleet(t, n, size)
-		bubble.Pass(3 * time.Second)
+		bubble.Sleep(3 * time.Second)
 		for i := range lost {
 			n.Vanish(gatewayName(i))
 			all[i].stop()
 		}
-		bubble.Pass(3 * time.Second)
+		bubble.Sleep(3 * time.Second)
 		require.Len(t, all[lost].mesh.Alive(time.Now()), size-lost-1)
 		require.True(t, all[lost].mesh.IsHub())
 		for i := lost + 1; i < size; i++ {
@@ -85,7 +85,7 @@
 			require.NotNil(t, first, "gateway %d", i)
 			require.True(t, first.HearsYou, "gateway %d", i)
 		}
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		heard, expected := all[lost].mesh.Reach(time.Now())
 		require.Equal(t, size-lost, heard)
 		require.Equal(t, size, expected, "lost gateways still count, since they may only be partitioned from this one")
@@ -100,12 +100,12 @@
 	bubble.Run(t, func(t *testing.T) {
 		const size = 68
 		all := startFleet(t, network.New(), size)
-		bubble.Pass(3 * time.Second)
+		bubble.Sleep(3 * time.Second)
 		all[0].handler.mu.Lock()
 		all[0].handler.sent = &wire.Gossip{Rank: 1, Ready: true, ChangeRevision: 99}
 		all[0].handler.mu.Unlock()
 		all[0].mesh.GossipNow()
-		bubble.Pass(30 * time.Millisecond)
+		bubble.Sleep(30 * time.Millisecond)
 		for i := 1; i < size; i++ {
 			got, _ := all[i].handler.gossipFrom(gatewayName(0))
 			require.NotNil(t, got)
--- a/internal/fleet/mesh/order_test.go
+++ b/internal/fleet/mesh/order_test.go
@@ -52,7 +52,7 @@
 
 func (slowWarnings) Handle(_ context.Context, r slog.Record) error {
 	if r.Level == slog.LevelWarn {
-		bubble.Pass(slowWarningDelay)
+		bubble.Sleep(slowWarningDelay)
 	}
 	return nil
 }
@@ -71,13 +71,13 @@
 		done := make(chan error, 1)
 		go func() { done <- counter.mesh.Run(ctx) }()
 		b := startProcess(t, n, "b:1", 2, &wire.Gossip{Ready: true}, "a:1")
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 
 		// Messages from b are delayed until about the moment at which its silence
 		// is detected, so they may arrive while the warning is being logged.
 		for delay := 400 * time.Millisecond; delay <= 700*time.Millisecond; delay += 50 * time.Millisecond {
 			n.Stall("a:1", delay)
-			bubble.Pass(2 * time.Second)
+			bubble.Sleep(2 * time.Second)
 		}
 		cancel()
 		require.NoError(t, <-done)
--- a/internal/platform/store/store.go
+++ b/internal/platform/store/store.go
@@ -32,9 +32,9 @@
 var (
 	// Unavailable means that the call had no effect and may be repeated later.
 	Unavailable = namespace.NewType("unavailable")
-	// Unclear means that a write may have taken effect although no response
+	// Indeterminate means that a write may have taken effect although no response
 	// arrived; the caller has to read the key before it assumes either outcome.
-	Unclear = namespace.NewType("unclear")
+	Indeterminate = namespace.NewType("unclear")
 	// Throttled means that this process has used up its rate limit.
 	Throttled = namespace.NewType("throttled")
 )
@@ -253,7 +253,7 @@
 	}
 	var created struct{ ID string }
 	if err := json.Unmarshal(answer.body, &created); err != nil || created.ID == "" {
-		return "", Unclear.New("response of the store contains no session id; create another session")
+		return "", Indeterminate.New("response of the store contains no session id; create another session")
 	}
 	return created.ID, nil
 }
@@ -280,7 +280,7 @@
 func (c *Client) read(ctx context.Context, priority Priority, key string, query url.Values) ([]Entry, error) {
 	answer, err := c.call(ctx, priority, http.MethodGet, "/v1/kv/"+key, query, nil)
 	if err != nil {
-		if errorx.IsOfType(err, Unclear) {
+		if errorx.IsOfType(err, Indeterminate) {
 			return nil, Unavailable.Wrap(err, "read %s; try again", key)
 		}
 		return nil, err
@@ -361,10 +361,10 @@
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(io.LimitReader(response.Body, 64*maxValueBytes))
 	if err != nil {
-		return reply{}, Unclear.Wrap(err, "response of the store ended early; read the key back")
+		return reply{}, Indeterminate.Wrap(err, "response of the store ended early; read the key back")
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return reply{}, Unclear.New("store answered with status %d; read the key back", response.StatusCode)
+		return reply{}, Indeterminate.New("store answered with status %d; read the key back", response.StatusCode)
 	}
 	return reply{status: response.StatusCode, body: content}, nil
 }
@@ -376,7 +376,7 @@
 	if errors.As(err, &op) && op.Op == "dial" {
 		return Unavailable.Wrap(err, "store at %s unreachable; try again later", address)
 	}
-	return Unclear.Wrap(err, "no response from the store at %s; read the key back", address)
+	return Indeterminate.Wrap(err, "no response from the store at %s; read the key back", address)
 }
 
 func withDefaultTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
--- a/internal/proof/bubble/bubble.go
+++ b/internal/proof/bubble/bubble.go
@@ -17,8 +17,8 @@
 	maxStackBytes = 64 << 20
 )
 
-// Pass sleeps for d, which takes no real time in a bubble.
-func Pass(d time.Duration) { time.Sleep(d) }
+// Sleep sleeps for d, which takes no real time in a bubble.
+func Sleep(d time.Duration) { time.Sleep(d) }
 
 // Run runs f in a synctest bubble. It runs two garbage collections first to empty
 // all sync.Pools: the multiplexer pools timers, and a timer of one bubble must not
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -89,8 +89,8 @@
 // WithDialer sets the dialer for links and for the platform.
 func WithDialer(d link.Dialer) Option { return func(e *Entry) { e.dialer = d } }
 
-// WithGrace sets how long Drain waits for the load balancer.
-func WithGrace(d time.Duration) Option { return func(e *Entry) { e.grace = d } }
+// WithDrainGrace sets how long Drain waits for the load balancer.
+func WithDrainGrace(d time.Duration) Option { return func(e *Entry) { e.grace = d } }
 
 // New starts an entry that serves callers and peers on the two listeners.
 func New(s settings.Entry, callers, peers net.Listener, logger *slog.Logger, now func() time.Time, options ...Option) *Entry {
--- a/internal/role/entry/keyed.go
+++ b/internal/role/entry/keyed.go
@@ -80,7 +80,7 @@
 		return k.attach(ctx, reply)
 	}
 	message := "this attempt did not run: its claim could not be stored (" + reply.GetDetail() + "); an earlier attempt may have run"
-	return k.refusalWithoutDispatch(refusal.New(refusal.StoreDown, refusal.NotRun, message, "send it again with the same key").RetryAfter(claimRetryAfter)), true
+	return k.refusalWithoutDispatch(refusal.New(refusal.ClaimsUnavailable, refusal.NotRun, message, "send it again with the same key").RetryAfter(claimRetryAfter)), true
 }
 
 // reachable returns the best upstream whose agent responds, so that the claim
--- a/internal/role/entry/output_test.go
+++ b/internal/role/entry/output_test.go
@@ -25,7 +25,7 @@
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			o := newOutput("id", w, invariant.New(slog.New(slog.DiscardHandler)), time.Now)
 			_ = o.write(&wire.Data{Bytes: []byte("whole")})
-			bubble.Pass(writeTimeout + time.Second)
+			bubble.Sleep(writeTimeout + time.Second)
 			o.begin()
 		})}
 		go func() { _ = server.Serve(listener) }()
--- a/internal/role/entry/rollouts.go
+++ b/internal/role/entry/rollouts.go
@@ -100,7 +100,7 @@
 	if known && state.Verdict() == document.Completed {
 		return []string{rollout.To(), rollout.From()}
 	}
-	if !rollout.InProgress() || m.stopped(rollout) || !move.Chosen(rollout.Move, q.ID(), state.Share()) {
+	if !rollout.InProgress() || m.stopped(rollout) || !move.InShare(rollout.Move, q.ID(), state.Share()) {
 		return []string{rollout.From()}
 	}
 	return []string{rollout.To(), rollout.From()}
@@ -137,7 +137,7 @@
 		if rollout.Service() != u.Service() || rollout.To() != u.Version() {
 			continue
 		}
-		within := known && (state.Verdict() == document.Completed || state.Verdict() == document.Moving && move.Chosen(rollout.Move, q.ID(), state.Share()))
+		within := known && (state.Verdict() == document.Completed || state.Verdict() == document.Moving && move.InShare(rollout.Move, q.ID(), state.Share()))
 		m.entry.invariants.Check(within, invariant.ShareWithinStage, q.ID(), "sent to version "+u.Version()+" outside its share of the rollout")
 	}
 }
@@ -300,7 +300,7 @@
 	if base.stage != state.Stage() || !base.since.Equal(state.Since()) {
 		base.stage, base.since, base.board = state.Stage(), state.Since(), all
 	}
-	return move.Observed{All: all, Stage: all.Since(base.board), Fault: base.watch.Update(all, rollout.From(), rollout.To()), Braked: m.braked(rollout), Ready: m.ready(now, rollout)}
+	return move.Observed{All: all, Stage: all.Since(base.board), Fault: base.watch.Update(all, rollout.From(), rollout.To()), StoppedUpstreams: m.braked(rollout), Ready: m.ready(now, rollout)}
 }
 
 func (m *rollouts) ready(now time.Time, rollout document.Move) bool {
@@ -343,7 +343,7 @@
 		s := rolloutStatus{Name: rollout.Name(), Service: rollout.Service(), From: rollout.From(), To: rollout.To(), By: rollout.Deadline(), Verdict: "not-begun", StoppedHere: m.stopped(rollout)}
 		if known {
 			s.Verdict, s.Share, s.Since, s.Why = string(state.Verdict()), state.Share(), state.Since(), state.Why()
-			s.CannotMeetDeadline = state.Verdict() == document.Moving && !move.Fits(now, rollout.Move, state)
+			s.CannotMeetDeadline = state.Verdict() == document.Moving && !move.CanMeetDeadline(now, rollout.Move, state)
 		}
 		out = append(out, s)
 	}
--- a/internal/role/entry/serve.go
+++ b/internal/role/entry/serve.go
@@ -259,7 +259,7 @@
 }
 
 func convictedRefusal() *refusal.Refusal {
-	return refusal.New(refusal.Convicted, refusal.NotRun, "an identical request has crashed two upstreams", "do not send it again; change it or report it")
+	return refusal.New(refusal.CrashesUpstreams, refusal.NotRun, "an identical request has crashed two upstreams", "do not send it again; change it or report it")
 }
 
 func detailOrDefault(detail string) string {
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -75,7 +75,7 @@
 		for i := range gateways {
 			f.start(i)
 		}
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		script(f)
 		for i := range gateways {
 			f.stop(i)
@@ -114,7 +114,7 @@
 			events = longEvents
 		}
 		for i := range events {
-			bubble.Pass(100 * time.Millisecond)
+			bubble.Sleep(100 * time.Millisecond)
 			if _, err := fmt.Fprintf(w, "id: %d\ndata: x\n\n", i+1); err != nil {
 				return
 			}
--- a/internal/role/gateway/gateway_test.go
+++ b/internal/role/gateway/gateway_test.go
@@ -46,9 +46,9 @@
 // within two seconds of its acceptance by the store.
 func TestConfigurationIsAppliedEverywhereInTime(t *testing.T) {
 	runFleet(t, func(f *fleet) {
-		bubble.Pass(5 * time.Second)
+		bubble.Sleep(5 * time.Second)
 		f.putConfig(2, "/new/")
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		for i := range gateways {
 			require.Equal(t, http.StatusOK, f.call(i, "/new/x", fmt.Sprint("new", i)).status)
 			require.Equal(t, http.StatusNotFound, f.call(i, "/old/x", fmt.Sprint("old", i)).status)
@@ -63,12 +63,12 @@
 	runFleet(t, func(f *fleet) {
 		f.store.SetFault(standin.NoResponse)
 		for range 10 {
-			bubble.Pass(time.Second)
+			bubble.Sleep(time.Second)
 			require.Equal(t, gateways, countServed(f.callAll(gateways, "/old/x")))
 		}
 		f.store.SetFault(standin.None)
 		f.putConfig(2, "/new/")
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		require.Equal(t, gateways, countServed(f.callAll(gateways, "/new/x")))
 	})
 }
@@ -78,7 +78,7 @@
 	runFleet(t, func(f *fleet) {
 		f.store.Put("servers/engine-0", fmt.Sprintf(
 			`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"draining"}`, engineAddress(0), slots))
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		f.peakLoad[engineAddress(0)] = 0
 		require.Equal(t, (engines-1)*slots, countServed(f.callAll((engines-1)*slots, "/old/x")))
 		require.Zero(t, f.peakLoad[engineAddress(0)])
@@ -91,11 +91,11 @@
 	runFleet(t, func(f *fleet) {
 		const cut = 1
 		f.network.Vanish(storeAddress(cut))
-		bubble.Pass(5 * time.Second)
+		bubble.Sleep(5 * time.Second)
 		f.putConfig(2, "/new/")
 		f.store.Put("servers/engine-0", fmt.Sprintf(
 			`{"service":"tutor","address":%q,"zone":"a","version":"v1","slots":%d,"state":"draining"}`, engineAddress(0), slots))
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		f.peakLoad[engineAddress(0)] = 0
 		require.Equal(t, http.StatusOK, f.call(cut, "/new/x", "a").status)
 		require.Equal(t, http.StatusNotFound, f.call(cut, "/old/x", "b").status)
@@ -125,12 +125,12 @@
 func TestEngineSpeedsAreStored(t *testing.T) {
 	runFleet(t, func(f *fleet) {
 		f.callAll(engines*slots, "/old/x")
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		for i := range engines {
 			require.Contains(t, f.store.Value("engine-speeds"), fmt.Sprintf(`"id":"engine-%d"`, i))
 		}
 		written := f.store.Value("engine-speeds")
-		bubble.Pass(20 * time.Second)
+		bubble.Sleep(20 * time.Second)
 		require.Equal(t, written, f.store.Value("engine-speeds"), "speeds that have not changed must not be written again")
 	})
 }
@@ -143,10 +143,10 @@
 	runFleet(t, func(f *fleet) {
 		f.store.SetFault(standin.NoResponse)
 		f.warmUp()
-		bubble.Pass(3 * time.Second)
+		bubble.Sleep(3 * time.Second)
 		f.stop(f.scheduler())
 		f.store.SetFault(standin.None)
-		bubble.Pass(8 * time.Second)
+		bubble.Sleep(8 * time.Second)
 		for i := range engines {
 			require.Contains(t, f.store.Value("engine-speeds"), "engine-"+strconv.Itoa(i))
 		}
@@ -162,7 +162,7 @@
 		f.serve(engineAddress(8), f.engine(engineAddress(8)))
 		f.store.Put("servers/engine-8", fmt.Sprintf(
 			`{"service":"tutor","address":%q,"zone":"a","version":"v2","slots":%d,"state":"ready"}`, engineAddress(8), slots))
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		require.JSONEq(t, `{"state":"running","target":"v2"}`, f.store.Value("status/rollout/tutor"))
 		for i := range 8 {
 			require.Equal(t, http.StatusOK, f.call(1+i%2, "/old/x", fmt.Sprint("before", i)).status)
@@ -170,7 +170,7 @@
 		f.network.Vanish(linkAddress(0))
 		f.network.Vanish(callerAddress(0))
 		f.network.Vanish(storeAddress(0))
-		bubble.Pass(16 * time.Second)
+		bubble.Sleep(16 * time.Second)
 		require.JSONEq(t, `{"state":"complete","target":"v2"}`, f.store.Value("status/rollout/tutor"))
 		f.peakLoad[engineAddress(8)] = 0
 		require.Equal(t, http.StatusOK, f.call(1, "/old/x", "after").status)
@@ -207,7 +207,7 @@
 		const added = gateways
 		f.serve(storeAddress(added), f.store)
 		f.start(added)
-		bubble.Pass(50 * time.Millisecond)
+		bubble.Sleep(50 * time.Millisecond)
 		for i := range 2 * slots {
 			o := f.call(added, "/old/x", "first"+strconv.Itoa(i))
 			require.NoError(t, o.err)
--- a/internal/role/gateway/older_store_test.go
+++ b/internal/role/gateway/older_store_test.go
@@ -27,9 +27,9 @@
 		for range 100 {
 			register("engine-0", engineAddress(0))
 		}
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		f.store.SetFault(standin.Busy)
-		bubble.Pass(500 * time.Millisecond)
+		bubble.Sleep(500 * time.Millisecond)
 		f.store.Restore(olderCopy)
 		f.store.SetFault(standin.None)
 		// The engines renew their registrations; one is replaced.
@@ -38,7 +38,7 @@
 		}
 		f.store.Remove("servers/engine-0")
 		register("engine-new", newEngine)
-		bubble.Pass(3 * time.Second)
+		bubble.Sleep(3 * time.Second)
 		f.mu.Lock()
 		clear(f.peakLoad)
 		f.mu.Unlock()
--- a/internal/role/gateway/registration_test.go
+++ b/internal/role/gateway/registration_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			return
 		}
-		bubble.Pass(delay)
+		bubble.Sleep(delay)
 		request := r.Clone(context.WithoutCancel(r.Context()))
 		request.Body = io.NopCloser(bytes.NewReader(body))
 		next.ServeHTTP(httptest.NewRecorder(), request)
@@ -43,9 +43,9 @@
 		const added = gateways
 		f.serve(storeAddress(added), delayFirstTransaction(2*time.Second, f.store))
 		f.start(added)
-		bubble.Pass(5 * time.Second)
+		bubble.Sleep(5 * time.Second)
 		first := f.store.Value("gateways/gateway-3")
-		bubble.Pass(30 * time.Second)
+		bubble.Sleep(30 * time.Second)
 		later := f.store.Value("gateways/gateway-3")
 		f.stop(added)
 		require.NotEmpty(t, first)
--- a/internal/role/gateway/stops_test.go
+++ b/internal/role/gateway/stops_test.go
@@ -24,7 +24,7 @@
 				require.Less(t, o.took, time.Second)
 			}
 		}
-		bubble.Pass(10 * time.Second)
+		bubble.Sleep(10 * time.Second)
 	})
 }
 
@@ -37,14 +37,14 @@
 		f.warmUp()
 		for i := range gateways {
 			go f.stop(i)
-			bubble.Pass(750 * time.Millisecond)
+			bubble.Sleep(750 * time.Millisecond)
 		}
 		for i := range gateways {
 			o := f.call(i, "/old/x", "after"+strconv.Itoa(i))
 			require.NoError(t, o.err)
 			require.Equal(t, http.StatusOK, o.status, "gateway %d", i)
 		}
-		bubble.Pass(10 * time.Second)
+		bubble.Sleep(10 * time.Second)
 	})
 }
 
@@ -55,14 +55,14 @@
 	runFleet(t, func(f *fleet) {
 		f.warmUp()
 		go f.stop(0)
-		bubble.Pass(3 * time.Second)
+		bubble.Sleep(3 * time.Second)
 		o := f.callFor(0, "/old/x", "long", "1000,9000", "300")
 		require.NoError(t, o.err)
 		require.Equal(t, http.StatusServiceUnavailable, o.status)
 		require.Less(t, o.took, 50*time.Millisecond)
 		require.Equal(t, "0.010", o.retryAfter)
 		require.Equal(t, http.StatusOK, f.callFor(1, "/old/x", "again", "1000,9000", "300").status)
-		bubble.Pass(10 * time.Second)
+		bubble.Sleep(10 * time.Second)
 	})
 }
 
@@ -73,9 +73,9 @@
 	runFleet(t, func(f *fleet) {
 		f.warmUp()
 		go f.stop(0)
-		bubble.Pass(3200 * time.Millisecond)
+		bubble.Sleep(3200 * time.Millisecond)
 		o = f.callFor(0, longPath, "outruns", "1000,2940", "12")
-		bubble.Pass(10 * time.Second)
+		bubble.Sleep(10 * time.Second)
 	})
 	require.NoError(t, o.err)
 	if o.status == http.StatusOK {
@@ -119,13 +119,13 @@
 	runFleet(t, func(f *fleet) {
 		f.warmUp()
 		go f.callFor(0, longPath, "long", "1000,360", "360")
-		bubble.Pass(50 * time.Millisecond)
+		bubble.Sleep(50 * time.Millisecond)
 		for i := range stopping {
 			go f.stop(i)
 		}
-		bubble.Pass(since)
+		bubble.Sleep(since)
 		o = f.callFor(0, longPath, "outruns", "1000,2940", "12")
-		bubble.Pass(10 * time.Second)
+		bubble.Sleep(10 * time.Second)
 	})
 	require.NoError(t, o.err, "%s after the stop", since)
 	if o.status == http.StatusOK {
--- a/internal/sched/granter/granter_test.go
+++ b/internal/sched/granter/granter_test.go
@@ -55,11 +55,11 @@
 			require.True(t, r.grantedAtOnce("peer", "first"))
 			r.OwnerDown("peer")
 			// The timer and OwnerUp are due at the same time, and either may run first.
-			bubble.Pass(granter.OwnerGracePeriod)
+			bubble.Sleep(granter.OwnerGracePeriod)
 			r.OwnerUp("peer")
 			// The slot was either dropped by now or is kept.
 			kept := !r.grantedAtOnce("other", "second")
-			bubble.Pass(time.Millisecond)
+			bubble.Sleep(time.Millisecond)
 			if kept {
 				r.Release("other", "second", board.SlotResult{Outcome: board.Canceled})
 				require.False(t, r.grantedAtOnce("other", "third"), "the slot was released after its gateway was heard again")
--- a/internal/sched/permit/moments_test.go
+++ b/internal/sched/permit/moments_test.go
@@ -95,7 +95,7 @@
 		})
 		require.NoError(t, err)
 		client.ReportHeld(time.Now())
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 		later := time.Now()
 		scheduler.Submit(board.SlotRequest{
 			Owner: "other", ID: fmt.Sprintf("other-%d", i), Service: "tutor", Domain: "a", NextEventDue: later.Add(600 * time.Millisecond),
@@ -104,6 +104,6 @@
 		require.Zero(t, otherGrants.Load(), "seed %d, request %d: the engine has one slot, and it is in use", seed, i)
 		scheduler.Release("other", fmt.Sprintf("other-%d", i), board.SlotResult{Outcome: board.Canceled})
 		place.Release(time.Now(), flow.Answered, 0)
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 	}
 }
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -79,7 +79,7 @@
 		require.NoError(t, err)
 		// The scheduler hears of the slot after the slot request was withdrawn.
 		client.ReportHeld(time.Now())
-		bubble.Pass(4 * latency)
+		bubble.Sleep(4 * latency)
 		later := time.Now()
 		scheduler.Submit(board.SlotRequest{
 			Owner: "other", ID: "two", Service: "tutor", Domain: "a", NextEventDue: later.Add(600 * time.Millisecond),
@@ -88,6 +88,6 @@
 		require.Equal(t, 1, granted["gateway"])
 		require.Zero(t, granted["other"], "the engine has one slot, and it is in use")
 		place.Release(later, flow.Answered, 0)
-		bubble.Pass(2 * latency)
+		bubble.Sleep(2 * latency)
 	})
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -53,10 +53,10 @@
 	return prefixes
 }
 
-// Ledger counts prefill tokens over several stand-in engines. Prefill is wasted if
+// PrefillCounter counts prefill tokens over several stand-in engines. Prefill is wasted if
 // it computes a prefix that another engine has cached at that time, or if its run
 // is aborted.
-type Ledger struct {
+type PrefillCounter struct {
 	mu      sync.Mutex
 	holders map[uint64]int
 	offered int
@@ -64,31 +64,31 @@
 	wasted  int
 }
 
-// NewLedger returns a Ledger with all counts at zero.
-func NewLedger() *Ledger { return &Ledger{holders: make(map[uint64]int)} }
+// NewPrefillCounter returns a Ledger with all counts at zero.
+func NewPrefillCounter() *PrefillCounter { return &PrefillCounter{holders: make(map[uint64]int)} }
 
 // Offered returns the number of tokens of all prompts, cached or not.
-func (l *Ledger) Offered() int {
+func (l *PrefillCounter) Offered() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.offered
 }
 
 // Total returns the number of prefill tokens computed.
-func (l *Ledger) Total() int {
+func (l *PrefillCounter) Total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.total
 }
 
 // Wasted returns the number of prefill tokens wasted.
-func (l *Ledger) Wasted() int {
+func (l *PrefillCounter) Wasted() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.wasted
 }
 
-func (l *Ledger) recordPrefill(p prompt, prefixTokens int, evicted []uint64) {
+func (l *PrefillCounter) recordPrefill(p prompt, prefixTokens int, evicted []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.offered += p.prefixTokens + p.ownTokens
@@ -104,13 +104,13 @@
 	}
 }
 
-func (l *Ledger) recordAborted(tokens int) {
+func (l *PrefillCounter) recordAborted(tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wasted += tokens
 }
 
-func (l *Ledger) recordEvicted(prefixes []uint64) {
+func (l *PrefillCounter) recordEvicted(prefixes []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, prefix := range prefixes {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -64,9 +64,9 @@
 
 // Engine is one stand-in engine.
 type Engine struct {
-	settings Settings
-	ledger   *Ledger
-	address  string
+	settings       Settings
+	prefillCounter *PrefillCounter
+	address        string
 
 	mu         sync.Mutex
 	random     *rand.Rand
@@ -94,9 +94,9 @@
 }
 
 // New starts an engine on the listener. The ledger may be nil.
-func New(listener net.Listener, settings Settings, ledger *Ledger) *Engine {
+func New(listener net.Listener, settings Settings, ledger *PrefillCounter) *Engine {
 	e := &Engine{
-		settings: settings, ledger: ledger, address: listener.Addr().String(),
+		settings: settings, prefillCounter: ledger, address: listener.Addr().String(),
 		random: rand.New(rand.NewPCG(settings.Seed, 1)), cache: newCache(settings.CacheTokens),
 		runs: make(map[string]int), prefillSlot: make(chan struct{}, 1),
 	}
@@ -158,8 +158,8 @@
 	e.crashes++
 	server := e.server
 	evicted := e.cache.clear()
-	if e.ledger != nil {
-		e.ledger.recordEvicted(evicted)
+	if e.prefillCounter != nil {
+		e.prefillCounter.recordEvicted(evicted)
 	}
 	e.wg.Go(func() {
 		_ = server.Close()
@@ -315,8 +315,8 @@
 	if err == nil {
 		err = e.decode(r.Context(), w, p)
 	}
-	if err != nil && e.ledger != nil {
-		e.ledger.recordAborted(prefillTokens)
+	if err != nil && e.prefillCounter != nil {
+		e.prefillCounter.recordAborted(prefillTokens)
 	}
 }
 
@@ -355,8 +355,8 @@
 	if hit {
 		prefixTokens = 0
 	}
-	if e.ledger != nil {
-		e.ledger.recordPrefill(p, prefixTokens, evicted)
+	if e.prefillCounter != nil {
+		e.prefillCounter.recordPrefill(p, prefixTokens, evicted)
 	}
 	tokens := prefixTokens + p.ownTokens
 	select {
--- a/internal/standin/network/network.go
+++ b/internal/standin/network/network.go
@@ -65,9 +65,9 @@
 	n.vanished[to] = true
 }
 
-// Return makes an address respond to new dials again after Vanish. A dial that is
+// Restore makes an address respond to new dials again after Vanish. A dial that is
 // in progress still times out, as one whose first packet was lost.
-func (n *Network) Return(to string) {
+func (n *Network) Restore(to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.vanished, to)
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -20,26 +20,28 @@
 	Delay time.Duration
 }
 
-// Ledger counts the effects of actions over several stand-ins, by idempotency key,
+// EffectCounter counts the effects of actions over several stand-ins, by idempotency key,
 // or by path and body for actions without one.
-type Ledger struct {
+type EffectCounter struct {
 	mu      sync.Mutex
 	effects map[string]int
 	calls   map[string]int
 }
 
-// NewLedger returns an empty Ledger.
-func NewLedger() *Ledger { return &Ledger{effects: make(map[string]int), calls: make(map[string]int)} }
+// NewEffectCounter returns an empty Ledger.
+func NewEffectCounter() *EffectCounter {
+	return &EffectCounter{effects: make(map[string]int), calls: make(map[string]int)}
+}
 
 // Effects returns how often the action with the key took effect.
-func (l *Ledger) Effects(key string) int {
+func (l *EffectCounter) Effects(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.effects[key]
 }
 
 // Doubled returns the number of actions that took effect more than once.
-func (l *Ledger) Doubled() int {
+func (l *EffectCounter) Doubled() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	doubled := 0
@@ -52,19 +54,19 @@
 }
 
 // Calls returns the number of calls by request ID.
-func (l *Ledger) Calls() map[string]int {
+func (l *EffectCounter) Calls() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.calls)
 }
 
-func (l *Ledger) recordCall(requestID string) {
+func (l *EffectCounter) recordCall(requestID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls[requestID]++
 }
 
-func (l *Ledger) recordEffect(key string) int {
+func (l *EffectCounter) recordEffect(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.effects[key]++
@@ -73,19 +75,19 @@
 
 // Service is one stand-in service.
 type Service struct {
-	settings Settings
-	ledger   *Ledger
-	listener net.Listener
-	server   *http.Server
-	wg       sync.WaitGroup
+	settings      Settings
+	effectCounter *EffectCounter
+	listener      net.Listener
+	server        *http.Server
+	wg            sync.WaitGroup
 
 	mu    sync.Mutex
 	calls int
 }
 
 // New starts a service on the listener.
-func New(listener net.Listener, settings Settings, ledger *Ledger) *Service {
-	s := &Service{settings: settings, ledger: ledger, listener: listener}
+func New(listener net.Listener, settings Settings, ledger *EffectCounter) *Service {
+	s := &Service{settings: settings, effectCounter: ledger, listener: listener}
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: time.Minute}
 	s.wg.Go(func() { _ = s.server.Serve(listener) })
 	return s
@@ -117,7 +119,7 @@
 	s.calls++
 	call := s.calls
 	s.mu.Unlock()
-	s.ledger.recordCall(r.Header.Get("X-Request-Id"))
+	s.effectCounter.recordCall(r.Header.Get("X-Request-Id"))
 	w.Header().Set("Content-Type", "application/json")
 	if r.Method == http.MethodGet {
 		time.Sleep(s.settings.Delay)
@@ -128,7 +130,7 @@
 	if key == "" {
 		key = r.URL.Path + string(body)
 	}
-	effects := s.ledger.recordEffect(key)
+	effects := s.effectCounter.recordEffect(key)
 	time.Sleep(s.settings.Delay)
 	w.WriteHeader(http.StatusCreated)
 	_, _ = fmt.Fprintf(w, `{"action":%q,"call":%d,"times":%d}`, key, call, effects)
--- a/internal/trial/fleet/fleet.go
+++ b/internal/trial/fleet/fleet.go
@@ -98,8 +98,8 @@
 	spec       Spec
 	logger     *slog.Logger
 	invariants *invariant.Recorder
-	prefill    *engine.Ledger
-	effects    *service.Ledger
+	prefill    *engine.PrefillCounter
+	effects    *service.EffectCounter
 
 	platform *platform.Platform
 
@@ -123,7 +123,7 @@
 func New(spec Spec, logger *slog.Logger, invariants *invariant.Recorder) (*Fleet, error) {
 	f := &Fleet{
 		spec: spec, logger: logger, invariants: invariants,
-		prefill: engine.NewLedger(), effects: service.NewLedger(),
+		prefill: engine.NewPrefillCounter(), effects: service.NewEffectCounter(),
 		upstreams: make(map[string]*upstream),
 	}
 	if err := f.start(); err != nil {
@@ -280,7 +280,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := entry.New(s, callers, peers, f.logger, time.Now, entry.WithInvariants(f.invariants), entry.WithDialer(f.spec.Network), entry.WithGrace(100*time.Millisecond))
+	e := entry.New(s, callers, peers, f.logger, time.Now, entry.WithInvariants(f.invariants), entry.WithDialer(f.spec.Network), entry.WithDrainGrace(100*time.Millisecond))
 	f.mu.Lock()
 	f.entries = append(f.entries, e)
 	f.mu.Unlock()
@@ -376,10 +376,10 @@
 }
 
 // Effects returns the record of the actions that the booking stand-ins executed.
-func (f *Fleet) Effects() *service.Ledger { return f.effects }
+func (f *Fleet) Effects() *service.EffectCounter { return f.effects }
 
 // Prefill returns the prefill counters of the stand-in engines.
-func (f *Fleet) Prefill() *engine.Ledger { return f.prefill }
+func (f *Fleet) Prefill() *engine.PrefillCounter { return f.prefill }
 
 // KillAgent closes an agent without draining it and starts a replacement at the
 // same address.
--- a/internal/trial/fleet/fleet_test.go
+++ b/internal/trial/fleet/fleet_test.go
@@ -20,11 +20,11 @@
 
 func TestSiteServesItsLoadInTime(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
+		spec, err := fleet.NewSpec(examples.CairoInventory, examples.CairoRules, 1)
 		require.NoError(t, err)
 		net := network.New()
 		spec.Network = net
-		plan, _, err := fleet.PlanOf(spec, 5*time.Second)
+		plan, _, err := fleet.NewLoadPlan(spec, 5*time.Second)
 		require.NoError(t, err)
 		logger := slog.New(slog.NewTextHandler(io.Discard, nil))
 		invariants := invariant.New(logger)
--- a/internal/trial/fleet/session_test.go
+++ b/internal/trial/fleet/session_test.go
@@ -48,7 +48,7 @@
 // returns with the golden file.
 func runSession(t *testing.T, name string, run func(s *session) string) {
 	bubble.Run(t, func(t *testing.T) {
-		spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
+		spec, err := fleet.NewSpec(examples.CairoInventory, examples.CairoRules, 1)
 		require.NoError(t, err)
 		net := network.New()
 		spec.Network, spec.Engines, spec.Bookings = net, spec.Engines[:2], spec.Bookings[:2]
@@ -124,7 +124,7 @@
 		var both sync.WaitGroup
 		both.Go(func() { long = s.do(critique("long", 9)) })
 		both.Go(func() {
-			bubble.Pass(time.Millisecond)
+			bubble.Sleep(time.Millisecond)
 			short = s.do(critique("short", 2))
 		})
 		both.Wait()
@@ -160,7 +160,7 @@
 // backpressure, and another call over the same link must be answered in time.
 func TestSlowReaderIsBoundedAndDelaysNoOtherCaller(t *testing.T) {
 	bubble.Run(t, func(t *testing.T) {
-		spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, 1)
+		spec, err := fleet.NewSpec(examples.CairoInventory, examples.CairoRules, 1)
 		require.NoError(t, err)
 		net := network.New()
 		spec.Network, spec.Entries, spec.Engines = net, 1, spec.Engines[:1]
@@ -174,7 +174,7 @@
 		request.Header.Set("X-Deadline", "5m")
 		slow, err := s.client.Do(request)
 		require.NoError(t, err)
-		bubble.Pass(20 * time.Second)
+		bubble.Sleep(20 * time.Second)
 		streamed := site.Engine(spec.Engines[0].Name).Tokens()
 		t.Logf("engine streamed %d tokens before backpressure", streamed)
 		startedAt := time.Now()
--- a/internal/trial/fleet/spec.go
+++ b/internal/trial/fleet/spec.go
@@ -26,9 +26,9 @@
 // hardwareTokenGaps are the token gaps of four hardware generations.
 var hardwareTokenGaps = []time.Duration{3 * time.Millisecond, 4 * time.Millisecond, 5 * time.Millisecond, 8 * time.Millisecond}
 
-// ShapeOf derives a site from an operator's files: upstreams for every service,
+// NewSpec derives a site from an operator's files: upstreams for every service,
 // in its current version, spread over the failure domains.
-func ShapeOf(inventoryFile, rulesFile []byte, seed uint64) (Spec, error) {
+func NewSpec(inventoryFile, rulesFile []byte, seed uint64) (Spec, error) {
 	doc, findings := document.Build(inventoryFile, rulesFile)
 	if len(findings) > 0 {
 		return Spec{}, NotStarted.New("%s; run `persimmonridge check` on the files", findings[0].String())
@@ -67,10 +67,10 @@
 	}
 }
 
-// PlanOf derives a load plan from the files of the spec, and returns it with the
+// NewLoadPlan derives a load plan from the files of the spec, and returns it with the
 // names of the tiers. The answer length of a model action depends on its tier;
 // over all tiers the lengths span a factor of about 100.
-func PlanOf(spec Spec, duration time.Duration) (load.Plan, []string, error) {
+func NewLoadPlan(spec Spec, duration time.Duration) (load.Plan, []string, error) {
 	doc, findings := document.Build(spec.Inventory, spec.Rules)
 	if len(findings) > 0 {
 		return load.Plan{}, nil, NotStarted.New("%s; run `persimmonridge check` on the files", findings[0].String())
--- a/internal/trial/moves/moves.go
+++ b/internal/trial/moves/moves.go
@@ -31,24 +31,24 @@
 // Kinds returns all kinds of new versions.
 func Kinds() []Kind { return []Kind{Good, FailsNow, SlowNow, Later, UnderLoad, OneRoute} }
 
-// Trouble is a disturbance that is independent of the new version.
-type Trouble string
+// Disturbance is a disturbance that is independent of the new version.
+type Disturbance string
 
 // The disturbances.
 const (
-	Calm         Trouble = "calm"
-	StoreOutage  Trouble = "store outage in the middle"
-	PausedHolder Trouble = "holder paused past its lease"
+	Calm         Disturbance = "calm"
+	StoreOutage  Disturbance = "store outage in the middle"
+	PausedHolder Disturbance = "holder paused past its lease"
 )
 
-// Troubles returns all disturbances.
-func Troubles() []Trouble { return []Trouble{Calm, StoreOutage, PausedHolder} }
+// Disturbances returns all disturbances.
+func Disturbances() []Disturbance { return []Disturbance{Calm, StoreOutage, PausedHolder} }
 
 // Setting holds the parameters of one simulated move.
 type Setting struct {
-	Seed    uint64
-	Kind    Kind
-	Trouble Trouble
+	Seed        uint64
+	Kind        Kind
+	Disturbance Disturbance
 	// Rate is the number of requests of the service per second.
 	Rate float64
 	// Span is the time from start to deadline.
@@ -62,13 +62,13 @@
 	// Requests is the number of all requests, and Harmed the number of those affected
 	// by a fault of the new version.
 	Requests int
-	Harmed   int
-	// MostShare is the largest traffic share of the new version at a request affected
+	Affected int
+	// MaxFaultyShare is the largest traffic share of the new version at a request affected
 	// by its fault.
-	MostShare float64
-	// FaultToNone is the time from the first request affected by a fault of the new
+	MaxFaultyShare float64
+	// FaultToLastRequest is the time from the first request affected by a fault of the new
 	// version to the last request sent to that version.
-	FaultToNone time.Duration
+	FaultToLastRequest time.Duration
 }
 
 const (
@@ -139,7 +139,7 @@
 	sim.outcome.Verdict = sim.state.Verdict()
 	sim.outcome.InTime = sim.state.Verdict() == document.Completed && !sim.state.Since().After(sim.rule.Deadline())
 	if !sim.firstFaultAt.IsZero() && sim.lastNewRunAt.After(sim.firstFaultAt) {
-		sim.outcome.FaultToNone = sim.lastNewRunAt.Sub(sim.firstFaultAt)
+		sim.outcome.FaultToLastRequest = sim.lastNewRunAt.Sub(sim.firstFaultAt)
 	}
 	return sim.outcome, nil
 }
@@ -210,7 +210,7 @@
 		return true
 	}
 	brakeKnown := !sim.firstBrakedAt.IsZero() && now.Sub(sim.firstBrakedAt) > propagationDelay
-	return !brakeKnown && move.Chosen(sim.rule, id, sim.state.Share())
+	return !brakeKnown && move.InShare(sim.rule, id, sim.state.Share())
 }
 
 // run draws the result and latency of one run.
@@ -220,24 +220,24 @@
 	if onNew && sim.faulty(now, route) {
 		if sim.setting.Kind == SlowNow {
 			latency *= slowFactor
-			sim.recordHarm(now)
+			sim.recordAffected(now)
 		} else {
 			rate = faultyFailureRate
 		}
 	}
 	failed = sim.random.Float64() < rate
 	if failed && rate == faultyFailureRate {
-		sim.recordHarm(now)
+		sim.recordAffected(now)
 	}
 	return failed, latency
 }
 
-func (sim *simulation) recordHarm(now time.Time) {
-	sim.outcome.Harmed++
+func (sim *simulation) recordAffected(now time.Time) {
+	sim.outcome.Affected++
 	if sim.firstFaultAt.IsZero() {
 		sim.firstFaultAt = now
 	}
-	sim.outcome.MostShare = max(sim.outcome.MostShare, sim.state.Share())
+	sim.outcome.MaxFaultyShare = max(sim.outcome.MaxFaultyShare, sim.state.Share())
 }
 
 func (sim *simulation) faulty(now time.Time, route string) bool {
@@ -274,10 +274,10 @@
 // store outage, and a paused leader does nothing until another takes over the lease.
 func (sim *simulation) step(now time.Time) {
 	fraction := float64(now.Sub(sim.start)) / float64(sim.setting.Span)
-	if sim.setting.Trouble == StoreOutage && fraction > 0.3 && fraction < 0.5 {
+	if sim.setting.Disturbance == StoreOutage && fraction > 0.3 && fraction < 0.5 {
 		return
 	}
-	if sim.setting.Trouble == PausedHolder && fraction > 0.3 && now.Sub(sim.start) < time.Duration(0.3*float64(sim.setting.Span))+12*time.Second {
+	if sim.setting.Disturbance == PausedHolder && fraction > 0.3 && now.Sub(sim.start) < time.Duration(0.3*float64(sim.setting.Span))+12*time.Second {
 		return
 	}
 	for _, stopped := range sim.entryStopped {
@@ -301,7 +301,7 @@
 			braked++
 		}
 	}
-	next, changed := move.Step(now, sim.rule, sim.state, sim.hasState, move.Observed{All: merged, Stage: merged.Since(sim.stage), Fault: sim.watch.Update(merged, "old", "new"), Braked: braked, Ready: true})
+	next, changed := move.Step(now, sim.rule, sim.state, sim.hasState, move.Observed{All: merged, Stage: merged.Since(sim.stage), Fault: sim.watch.Update(merged, "old", "new"), StoppedUpstreams: braked, Ready: true})
 	if changed {
 		sim.state, sim.hasState = next, true
 	}
--- a/internal/trial/scenario/run.go
+++ b/internal/trial/scenario/run.go
@@ -78,12 +78,12 @@
 
 // Run runs a script on the network and returns what was observed.
 func Run(script Script, network Network, logger *slog.Logger, invariants *invariant.Recorder) (*Result, error) {
-	spec, err := fleet.ShapeOf(examples.CairoInventory, examples.CairoRules, script.Seed)
+	spec, err := fleet.NewSpec(examples.CairoInventory, examples.CairoRules, script.Seed)
 	if err != nil {
 		return nil, err
 	}
 	spec = script.scaleDown(spec, network)
-	plan, tiers, err := fleet.PlanOf(spec, time.Duration(script.Duration))
+	plan, tiers, err := fleet.NewLoadPlan(spec, time.Duration(script.Duration))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/version/evidence/evidence.go
+++ b/internal/version/evidence/evidence.go
@@ -64,8 +64,8 @@
 	return t
 }
 
-// Minus returns the counts since an earlier state of the same tally.
-func (t Tally) Minus(earlier Tally) Tally {
+// Since returns the counts since an earlier state of the same tally.
+func (t Tally) Since(earlier Tally) Tally {
 	t.runs -= min(t.runs, earlier.runs)
 	t.failures -= min(t.failures, earlier.failures)
 	for i := range t.latency {
@@ -259,7 +259,7 @@
 	since := NewBoard()
 	for version, routes := range b.tallies {
 		for route, t := range routes {
-			since.Set(version, route, t.Minus(earlier.Get(version, route)))
+			since.Set(version, route, t.Since(earlier.Get(version, route)))
 		}
 	}
 	return since
@@ -329,11 +329,11 @@
 // Route returns the route of the finding, or "" for all routes together.
 func (f Finding) Route() string { return f.route }
 
-// Old returns the old version's tally on that route.
-func (f Finding) Old() Tally { return f.baseline }
+// Baseline returns the old version's tally on that route.
+func (f Finding) Baseline() Tally { return f.baseline }
 
-// Fresh returns the new version's tally on that route.
-func (f Finding) Fresh() Tally { return f.candidate }
+// Candidate returns the new version's tally on that route.
+func (f Finding) Candidate() Tally { return f.candidate }
 
 // Judge compares two versions on each route and over all routes. One bad route
 // makes the version bad; it is good if it is good over all routes and no route is
--- a/internal/version/evidence/evidence_test.go
+++ b/internal/version/evidence/evidence_test.go
@@ -93,7 +93,7 @@
 
 // A circuit breaker must not trip in a million runs of a version that fails one run in a
 // hundred, and must trip within ten runs of a version that always fails.
-func TestBrake(t *testing.T) {
+func TestBreaker(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	tolerant := evidence.NewBreaker()
 	for range 1_000_000 {
--- a/internal/version/evidence/watch.go
+++ b/internal/version/evidence/watch.go
@@ -12,14 +12,14 @@
 const (
 	// watchThreshold gives less than one false alarm in a million runs.
 	watchThreshold = 14
-	// brakeThreshold is the threshold of a single agent or entry, which decides
+	// breakerThreshold is the threshold of a single agent or entry, which decides
 	// without the old version's counts: less than one false alarm in twenty
 	// thousand runs of a version that fails one run in twenty.
-	brakeThreshold = 10
+	breakerThreshold = 10
 	// toleratedRate and brakeRate are the failure rates of the two hypotheses of a
 	// circuit breaker.
 	toleratedRate = 0.05
-	brakeRate     = 0.3
+	breakerRate   = 0.3
 	// allRoutes is the key of the score over all routes together, where a version
 	// that is bad everywhere shows first.
 	allRoutes = ""
@@ -38,14 +38,14 @@
 // Observe takes one run into account and reports whether the version must be
 // stopped.
 func (b *Breaker) Observe(route string, failed bool) bool {
-	step := math.Log((1 - brakeRate) / (1 - toleratedRate))
+	step := math.Log((1 - breakerRate) / (1 - toleratedRate))
 	if failed {
-		step = math.Log(brakeRate / toleratedRate)
+		step = math.Log(breakerRate / toleratedRate)
 	}
 	stop := false
 	for _, key := range []string{route, allRoutes} {
 		b.scores[key] = max(0, b.scores[key]+step)
-		stop = stop || b.scores[key] >= brakeThreshold
+		stop = stop || b.scores[key] >= breakerThreshold
 	}
 	return stop
 }
--- a/internal/version/move/move.go
+++ b/internal/version/move/move.go
@@ -48,8 +48,8 @@
 	Stage *evidence.Board
 	// Fault is the finding of the watch over the newest reports.
 	Fault evidence.Finding
-	// Braked is the number of upstreams that stopped themselves.
-	Braked int
+	// StoppedUpstreams is the number of upstreams that stopped themselves.
+	StoppedUpstreams int
 	// Ready reports whether any upstream of the new version can be chosen.
 	Ready bool
 }
@@ -86,9 +86,9 @@
 }
 
 func fault(m rules.Move, o Observed) (string, bool) {
-	if o.Braked > 0 {
+	if o.StoppedUpstreams > 0 {
 		total := o.All.Total(m.To())
-		return fmt.Sprintf("%d upstreams of %s stopped themselves: %d of %d runs failed", o.Braked, m.To(), total.Failures(), total.Runs()), true
+		return fmt.Sprintf("%d upstreams of %s stopped themselves: %d of %d runs failed", o.StoppedUpstreams, m.To(), total.Failures(), total.Runs()), true
 	}
 	finding := o.Fault
 	if finding.Verdict() == evidence.Open {
@@ -97,10 +97,10 @@
 	switch finding.Verdict() {
 	case evidence.BadFailures:
 		return fmt.Sprintf("%s fails%s: %d of %d runs against %d of %d with %s", m.To(), onRoute(finding.Route()),
-			finding.Fresh().Failures(), finding.Fresh().Runs(), finding.Old().Failures(), finding.Old().Runs(), m.From()), true
+			finding.Candidate().Failures(), finding.Candidate().Runs(), finding.Baseline().Failures(), finding.Baseline().Runs(), m.From()), true
 	case evidence.BadLatency:
 		return fmt.Sprintf("%s is slower%s: seen over %d runs against %d with %s", m.To(), onRoute(finding.Route()),
-			finding.Fresh().Runs(), finding.Old().Runs(), m.From()), true
+			finding.Candidate().Runs(), finding.Baseline().Runs(), m.From()), true
 	}
 	return "", false
 }
@@ -165,18 +165,18 @@
 	return advance(now, m, state, o)
 }
 
-// Fits reports whether a move can still meet its deadline if every remaining stage
+// CanMeetDeadline reports whether a move can still meet its deadline if every remaining stage
 // has the minimum duration, so that one that cannot is reported early.
-func Fits(now time.Time, m rules.Move, state document.MoveState) bool {
+func CanMeetDeadline(now time.Time, m rules.Move, state document.MoveState) bool {
 	remaining := len(stages) - state.Stage()
 	required := time.Duration(remaining) * fractionOf(m.Deadline().Sub(m.Start()), minStageFraction)
 	return !now.Add(required).After(m.Deadline())
 }
 
-// Chosen reports whether a request belongs to the share of the new version. It
+// InShare reports whether a request belongs to the share of the new version. It
 // depends only on the move, the request's id and the share, so that all entries
 // agree without a shared counter.
-func Chosen(m rules.Move, requestID string, share float64) bool {
+func InShare(m rules.Move, requestID string, share float64) bool {
 	const steps = 1 << 20
 	hash := xxhash.Sum64String(m.Name() + "\x00" + requestID)
 	return float64(hash%steps) < share*steps
--- a/internal/version/move/move_test.go
+++ b/internal/version/move/move_test.go
@@ -73,7 +73,7 @@
 			board := evidence.NewBoard()
 			observeRuns(board, "easel-1", c.Old)
 			observeRuns(board, "easel-2", c.New)
-			next, _ := move.Step(start.Add(at), newMove(t, c.IfLate), state, c.Stage != nil, move.Observed{All: board, Stage: board, Braked: c.Braked, Ready: c.Ready})
+			next, _ := move.Step(start.Add(at), newMove(t, c.IfLate), state, c.Stage != nil, move.Observed{All: board, Stage: board, StoppedUpstreams: c.Braked, Ready: c.Ready})
 			require.Equal(t, c.Want, string(next.Verdict()), next.Why())
 			require.InDelta(t, c.Share, next.Share(), 1e-9)
 		})
@@ -89,7 +89,7 @@
 		chosen := 0
 		const requests = 20000
 		for i := range requests {
-			if move.Chosen(m, fmt.Sprint("request-", i), share) {
+			if move.InShare(m, fmt.Sprint("request-", i), share) {
 				chosen++
 			}
 		}
@@ -100,6 +100,6 @@
 func TestFits(t *testing.T) {
 	m := newMove(t, "")
 	state := document.NewMoveState(0, 0.02, document.Moving, start, "")
-	require.True(t, move.Fits(start, m, state))
-	require.False(t, move.Fits(start.Add(55*time.Minute), m, state))
+	require.True(t, move.CanMeetDeadline(start, m, state))
+	require.False(t, move.CanMeetDeadline(start.Add(55*time.Minute), m, state))
 }
