--- a/internal/platform/store/store.go
+++ b/internal/platform/store/store.go
@@ -213,7 +213,7 @@
 }
 
 // Swap writes a value if the key still has the index; index 0 creates the key
-// if it does not exist. An Unclear error means that the write may have taken
+// if it does not exist. An Indeterminate error means that the write may have taken
 // effect.
 func (c *Client) Swap(ctx context.Context, priority Priority, key string, value []byte, index uint64) (bool, error) {
 	if len(value) > maxValueBytes {
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -53,9 +53,9 @@
 	return prefixes
 }
 
-// PrefillCounter counts prefill tokens over several stand-in engines. Prefill is wasted if
-// it computes a prefix that another engine has cached at that time, or if its run
-// is aborted.
+// PrefillCounter counts prefill tokens over several stand-in engines. Prefill is
+// wasted if it computes a prefix that another engine has cached at that time, or if
+// its run is aborted.
 type PrefillCounter struct {
 	mu      sync.Mutex
 	holders map[uint64]int
@@ -64,7 +64,7 @@
 	wasted  int
 }
 
-// NewPrefillCounter returns a Ledger with all counts at zero.
+// NewPrefillCounter returns a PrefillCounter with all counts at zero.
 func NewPrefillCounter() *PrefillCounter { return &PrefillCounter{holders: make(map[uint64]int)} }
 
 // Offered returns the number of tokens of all prompts, cached or not.
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -93,10 +93,10 @@
 	Cached  int `json:"cached-tokens"`
 }
 
-// New starts an engine on the listener. The ledger may be nil.
-func New(listener net.Listener, settings Settings, ledger *PrefillCounter) *Engine {
+// New starts an engine on the listener. The prefill counter may be nil.
+func New(listener net.Listener, settings Settings, prefillCounter *PrefillCounter) *Engine {
 	e := &Engine{
-		settings: settings, prefillCounter: ledger, address: listener.Addr().String(),
+		settings: settings, prefillCounter: prefillCounter, address: listener.Addr().String(),
 		random: rand.New(rand.NewPCG(settings.Seed, 1)), cache: newCache(settings.CacheTokens),
 		runs: make(map[string]int), prefillSlot: make(chan struct{}, 1),
 	}
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -28,7 +28,7 @@
 	calls   map[string]int
 }
 
-// NewEffectCounter returns an empty Ledger.
+// NewEffectCounter returns an EffectCounter with all counts at zero.
 func NewEffectCounter() *EffectCounter {
 	return &EffectCounter{effects: make(map[string]int), calls: make(map[string]int)}
 }
@@ -86,8 +86,8 @@
 }
 
 // New starts a service on the listener.
-func New(listener net.Listener, settings Settings, ledger *EffectCounter) *Service {
-	s := &Service{settings: settings, effectCounter: ledger, listener: listener}
+func New(listener net.Listener, settings Settings, effectCounter *EffectCounter) *Service {
+	s := &Service{settings: settings, effectCounter: effectCounter, listener: listener}
 	s.server = &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: time.Minute}
 	s.wg.Go(func() { _ = s.server.Serve(listener) })
 	return s
--- a/internal/trial/moves/moves.go
+++ b/internal/trial/moves/moves.go
@@ -1,5 +1,5 @@
 // Package moves simulates seeded version moves. It uses the same share, evidence,
-// brake and step logic as the real processes, with random requests instead of
+// circuit breakers and step logic as the real processes, with random requests instead of
 // running processes.
 package moves
 
@@ -59,8 +59,8 @@
 type Outcome struct {
 	Verdict document.Verdict
 	InTime  bool
-	// Requests is the number of all requests, and Harmed the number of those affected
-	// by a fault of the new version.
+	// Requests is the number of all requests, and Affected the number of those
+	// affected by a fault of the new version.
 	Requests int
 	Affected int
 	// MaxFaultyShare is the largest traffic share of the new version at a request affected
@@ -84,14 +84,14 @@
 	slowFactor = 4
 	// stepInterval is the interval between steps of the process that leads the move.
 	stepInterval = time.Second
-	// propagationDelay is the time after which other processes know of a brake; the
-	// agent or entry that brakes stops at once.
+	// propagationDelay is the time after which other processes know that a circuit
+	// breaker tripped; its agent or entry stops at once.
 	propagationDelay = time.Second
 	// overloadShare is the traffic share from which the fault of UnderLoad occurs.
 	overloadShare = 0.4
 	// laterFaultStart is the fraction of the span after which the fault of Later begins.
 	laterFaultStart = 0.3
-	// entries is the number of entries, each with its own brake.
+	// entries is the number of entries, each with its own circuit breaker.
 	entries = 3
 )
 
--- a/internal/upstream/suspect/suspect.go
+++ b/internal/upstream/suspect/suspect.go
@@ -16,7 +16,7 @@
 // Status is the status of a fingerprint.
 type Status int
 
-// The standings.
+// Statuses of a fingerprint.
 const (
 	NotSuspected Status = iota
 	Suspected
--- a/internal/version/evidence/watch.go
+++ b/internal/version/evidence/watch.go
@@ -16,7 +16,7 @@
 	// without the old version's counts: less than one false alarm in twenty
 	// thousand runs of a version that fails one run in twenty.
 	breakerThreshold = 10
-	// toleratedRate and brakeRate are the failure rates of the two hypotheses of a
+	// toleratedRate and breakerRate are the failure rates of the two hypotheses of a
 	// circuit breaker.
 	toleratedRate = 0.05
 	breakerRate   = 0.3
@@ -27,7 +27,7 @@
 
 // Breaker is a circuit breaker of one agent or entry for one version, with a CUSUM
 // detector per route that is updated after every run. The zero value is not usable;
-// see NewBrake. It is not safe for concurrent use.
+// see NewBreaker. It is not safe for concurrent use.
 type Breaker struct {
 	scores map[string]float64
 }
