--- a/internal/limit/crash/crash.go
+++ b/internal/limit/crash/crash.go
@@ -84,7 +84,8 @@
 	}
 }
 
-// RecordRemote records a crash that another process detected, and reports whether it is new.
+// RecordRemote records a crash that another process detected, and reports whether it is
+// new.
 func (r *Tracker) RecordRemote(now time.Time, fingerprint uint64, crash string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/state/roster/roster.go
+++ b/internal/state/roster/roster.go
@@ -29,8 +29,8 @@
 	// StartedAtMs is the start time of the upstream in Unix milliseconds. An upstream that
 	// restarts under the same ID keeps nothing from before the restart.
 	StartedAtMs int64
-	// WarmUpRemaining is the remaining warm-up time that the upstream reported, during which
-	// it is slow.
+	// WarmUpRemaining is the remaining warm-up time that the upstream reported,
+	// during which it is slow.
 	WarmUpRemaining time.Duration
 	// Revision is the revision of the registration's last change in the store.
 	Revision int64
--- a/internal/trial/moves/moves.go
+++ b/internal/trial/moves/moves.go
@@ -1,6 +1,6 @@
 // Package moves simulates seeded version moves. It uses the same share, evidence,
-// circuit breakers and step logic as the real processes, with random requests instead of
-// running processes.
+// circuit breaker and step logic as the real processes, with random requests instead
+// of running processes.
 package moves
 
 import (
--- a/internal/version/move/move.go
+++ b/internal/version/move/move.go
@@ -165,8 +165,8 @@
 	return advance(now, m, state, o)
 }
 
-// CanMeetDeadline reports whether a move can still meet its deadline if every remaining stage
-// has the minimum duration, so that one that cannot is reported early.
+// CanMeetDeadline reports whether a move can still meet its deadline if every remaining
+// stage has the minimum duration, so that one that cannot is reported early.
 func CanMeetDeadline(now time.Time, m rules.Move, state document.MoveState) bool {
 	remaining := len(stages) - state.Stage()
 	required := time.Duration(remaining) * fractionOf(m.Deadline().Sub(m.Start()), minStageFraction)
