--- a/internal/edge/exchange/pool.go
+++ b/internal/edge/exchange/pool.go
@@ -86,8 +86,8 @@
 	return c
 }
 
-// release keeps a connection whose last answer was read completely. StatedTimeout is
-// the idle timeout that the upstream states, or 0.
+// release keeps a connection whose last answer was read completely. The statedTimeout
+// is the idle timeout that the upstream states, or 0.
 func (p *Pool) release(now time.Time, c *conn, statedTimeout time.Duration) {
 	timeout := defaultIdleTimeout
 	if statedTimeout > 0 {
@@ -103,8 +103,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes connections whose idle time is over.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes connections whose idle time is over.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
--- a/internal/fleet/link/stream_test.go
+++ b/internal/fleet/link/stream_test.go
@@ -110,7 +110,7 @@
 		require.NoError(t, ping())
 		n.Silence(server.Addr())
 		require.True(t, errorx.IsOfType(ping(), link.Silent))
-		require.False(t, pool.Holds(server.Addr()))
+		require.False(t, pool.HasSession(server.Addr()))
 		require.NoError(t, ping(), "no new session was opened")
 		n.Vanish(server.Addr())
 		require.True(t, errorx.IsOfType(ping(), link.Silent))
@@ -139,7 +139,7 @@
 		require.NoError(t, err)
 		failing := &failingListener{Listener: listener}
 		server := link.Serve(failing, echo)
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 		require.LessOrEqual(t, failing.attempts.Load(), int64(51))
 		require.NoError(t, server.Close())
 	})
--- a/internal/fleet/mesh/mesh_test.go
+++ b/internal/fleet/mesh/mesh_test.go
@@ -27,7 +27,7 @@
 	count int
 }
 
-func (h *recordingHandler) Gossip(_ time.Time, g *wire.Gossip) {
+func (h *recordingHandler) FillGossip(_ time.Time, g *wire.Gossip) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	run := g.Run
@@ -37,7 +37,7 @@
 	}
 }
 
-func (h *recordingHandler) Heard(now time.Time, peer string, g *wire.Gossip) {
+func (h *recordingHandler) HandleGossip(now time.Time, peer string, g *wire.Gossip) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.received[peer] == nil {
@@ -47,8 +47,8 @@
 	h.count++
 }
 
-func (h *recordingHandler) Receive(time.Time, string, *wire.Envelope) {}
-func (h *recordingHandler) Down(time.Time, string)                    {}
+func (h *recordingHandler) HandleMessage(time.Time, string, *wire.Envelope) {}
+func (h *recordingHandler) PeerDown(time.Time, string)                      {}
 
 func (h *recordingHandler) gossipFrom(peer string) (*wire.Gossip, time.Time) {
 	h.mu.Lock()
@@ -74,7 +74,7 @@
 	p.mesh = m
 	p.server = link.Serve(listener, m.Serve)
 	for _, peer := range peers {
-		m.Know(time.Now(), peer)
+		m.AddPeer(time.Now(), peer)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	p.cancel = cancel
@@ -97,11 +97,11 @@
 		n := network.New()
 		n.Vanish("b:1")
 		a := startProcess(t, n, "a:1", 1, &wire.Gossip{Ready: true}, "b:1")
-		bubble.Pass(300 * time.Millisecond)
-		n.Return("b:1")
+		bubble.Sleep(300 * time.Millisecond)
+		n.Restore("b:1")
 		b := startProcess(t, n, "b:1", 2, &wire.Gossip{Ready: true}, "a:1")
 		started := time.Now()
-		bubble.Pass(2 * time.Second)
+		bubble.Sleep(2 * time.Second)
 		_, at := b.handler.gossipFrom("a:1")
 		require.False(t, at.IsZero())
 		require.Less(t, at.Sub(started), 500*time.Millisecond)
@@ -119,7 +119,7 @@
 		sent := &wire.Gossip{Rank: 3, Ready: true, ConfigVersion: 5, RosterRevision: 7, StoreAnswers: true, ChangeRevision: 11}
 		a := startProcess(t, n, "a:1", 1, sent, "b:1")
 		b := startProcess(t, n, "b:1", 2, &wire.Gossip{}, "a:1")
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 		got, _ := b.handler.gossipFrom("a:1")
 		require.NotNil(t, got)
 		require.Equal(t, sent.Rank, got.Rank)
--- a/internal/fleet/mesh/order_test.go
+++ b/internal/fleet/mesh/order_test.go
@@ -25,11 +25,11 @@
 	down, aliveWhenDown int
 }
 
-func (c *downCounter) Gossip(_ time.Time, g *wire.Gossip)        { g.Ready = true }
-func (c *downCounter) Heard(time.Time, string, *wire.Gossip)     {}
-func (c *downCounter) Receive(time.Time, string, *wire.Envelope) {}
+func (c *downCounter) FillGossip(_ time.Time, g *wire.Gossip)          { g.Ready = true }
+func (c *downCounter) HandleGossip(time.Time, string, *wire.Gossip)    {}
+func (c *downCounter) HandleMessage(time.Time, string, *wire.Envelope) {}
 
-func (c *downCounter) Down(time.Time, string) {
+func (c *downCounter) PeerDown(time.Time, string) {
 	alive := len(c.mesh.Alive(time.Now()))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 
 func (slowWarnings) Handle(_ context.Context, r slog.Record) error {
 	if r.Level == slog.LevelWarn {
-		bubble.Pass(slowWarningDelay)
+		bubble.Sleep(slowWarningDelay)
 	}
 	return nil
 }
@@ -66,18 +66,18 @@
 		require.NoError(t, err)
 		counter.mesh = mesh.New("a:1", "a:1", 1, n, counter, slog.New(slowWarnings{slog.DiscardHandler}), time.Now)
 		server := link.Serve(listener, counter.mesh.Serve)
-		counter.mesh.Know(time.Now(), "b:1")
+		counter.mesh.AddPeer(time.Now(), "b:1")
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- counter.mesh.Run(ctx) }()
 		b := startProcess(t, n, "b:1", 2, &wire.Gossip{Ready: true}, "a:1")
-		bubble.Pass(time.Second)
+		bubble.Sleep(time.Second)
 
 		// Messages from b are delayed until about the moment at which its silence
 		// is detected, so they may arrive while the warning is being logged.
 		for delay := 400 * time.Millisecond; delay <= 700*time.Millisecond; delay += 50 * time.Millisecond {
 			n.Stall("a:1", delay)
-			bubble.Pass(2 * time.Second)
+			bubble.Sleep(2 * time.Second)
 		}
 		cancel()
 		require.NoError(t, <-done)
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -74,20 +74,20 @@
 
 // Settings configure a gateway.
 type Settings struct {
-	Name, Domain                       string
-	Callers, Readiness, Links, Metrics string
-	Seeds                              []string
-	Grace                              time.Duration
-	// Processor is the share of one CPU core that the process may use; 0 means
+	Name, Domain                                                 string
+	CallerAddress, ReadinessAddress, LinkAddress, MetricsAddress string
+	SeedAddresses                                                []string
+	GracePeriod                                                  time.Duration
+	// CPUCores is the share of one CPU core that the process may use; 0 means
 	// unknown.
-	Processor                 float64
+	CPUCores                  float64
 	Retry                     retry.Settings
 	ConfigKey, UpstreamPrefix string
 	OrderPrefix               string
 	Quota                     quota.Options
-	// Apply is the longest time that may pass from the store's acknowledgment
+	// ConfigApplyLimit is the longest time that may pass from the store's acknowledgment
 	// of a configuration until every gateway uses it.
-	Apply time.Duration
+	ConfigApplyLimit time.Duration
 }
 
 // Dialer opens connections to upstreams and peers.
@@ -95,21 +95,21 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Parts are the dependencies of a gateway.
-type Parts struct {
-	Settings   Settings
-	Store      kv.Store
-	Decoder    Decoder
-	Translator flow.Translator
-	Names      exchange.Names
-	Dialer     Dialer
+// Dependencies are the dependencies of a gateway.
+type Dependencies struct {
+	Settings      Settings
+	Store         kv.Store
+	Decoder       Decoder
+	Translator    flow.HeaderCodec
+	AnswerHeaders exchange.HeaderNames
+	Dialer        Dialer
 	// Listen opens a listener.
 	Listen func(network, address string) (net.Listener, error)
 	Logger *slog.Logger
-	// LeftOut returns how many log lines were omitted by sampling and by a full
+	// OmittedLogLines returns how many log lines were omitted by sampling and by a full
 	// output buffer; it may be nil.
-	LeftOut func() (sampled, dropped int64)
-	Now     func() time.Time
+	OmittedLogLines func() (sampled, dropped int64)
+	Now             func() time.Time
 }
 
 // Gateway is one gateway process.
@@ -136,9 +136,9 @@
 	roster            *roster.Roster
 	upstreams         *upstreamView
 	pool              *exchange.Pool
-	quota             *quota.Keeper
+	quota             *quota.Limiter
 	ledger            *quota.Ledger
-	crashRegister     *crash.Register
+	crashRegister     *crash.Tracker
 	peers             *peers
 	mesh              *mesh.Mesh
 	granter           *granter.Granter
@@ -177,7 +177,7 @@
 }
 
 // New returns a gateway that has not been started.
-func New(parts Parts) *Gateway {
+func New(parts Dependencies) *Gateway {
 	s, now, logger := parts.Settings, parts.Now, parts.Logger
 	g := &Gateway{
 		settings: s, decoder: parts.Decoder, listen: parts.Listen, logger: logger, now: now,
@@ -186,21 +186,21 @@
 		roster: roster.New(), ledger: quota.NewLedger(), metrics: newMetrics(),
 		pool: exchange.NewPool(parts.Dialer.DialContext),
 	}
-	g.grace.Store(int64(s.Grace))
+	g.grace.Store(int64(s.GracePeriod))
 	g.store = meter.New(parts.Store, g.metrics.StoreCall)
-	g.omittedLogLines = parts.LeftOut
+	g.omittedLogLines = parts.OmittedLogLines
 	g.retryBudget = retry.New(s.Retry, func() int { return g.peers.gatewayCount() })
 	g.upstreams = newUpstreamView(g)
 	g.peers = &peers{Gateway: g, rank: unranked, storeReachedAt: make(map[string]time.Time)}
 	g.quota = quota.New(s.Quota, g.peers.gatewayCount)
 	g.crashRegister = crash.New(g.peers.recordCrash)
-	g.mesh = mesh.New(s.Name, s.Links, g.runID, parts.Dialer, g.peers, logger, now)
-	g.peers.isHub = g.mesh.Hub
+	g.mesh = mesh.New(s.Name, s.LinkAddress, g.runID, parts.Dialer, g.peers, logger, now)
+	g.peers.isHub = g.mesh.IsHub
 	g.granter = granter.New(now, g.peers.deliverVerdict, logger)
-	g.permits = permit.New(permit.Parts{
+	g.permits = permit.New(permit.Dependencies{
 		Node: s.Name, Domain: s.Domain, Scheduler: g.peers.scheduler, Send: g.mesh.Send,
-		Own:   func(now time.Time, e *wire.Envelope) { permit.Serve(now, g.granter, s.Name, e) },
-		Local: local.New(s.Domain, g.roster.Ready, g.peers.gatewayCount), Upstream: g.roster.Get,
+		DeliverLocally: func(now time.Time, e *wire.Envelope) { permit.HandleMessage(now, g.granter, s.Name, e) },
+		Local:          local.New(s.Domain, g.roster.Ready, g.peers.gatewayCount), Upstream: g.roster.Get,
 		Service: g.service, Metrics: g.metrics, Logger: logger, Now: now,
 	})
 	g.versionPicker = rollout.NewPicker(g.permits)
@@ -208,13 +208,13 @@
 	g.speedStore = &speedStore{Gateway: g}
 	g.follower = g.newFollower()
 	g.metrics.registerGauges(g)
-	requests := flow.New(flow.Parts{
-		Translator: parts.Translator, Client: exchange.NewClient(g.pool, parts.Names, now), Catalog: g.catalog.Load,
+	requests := flow.New(flow.Dependencies{
+		Headers: parts.Translator, Client: exchange.NewClient(g.pool, parts.AnswerHeaders, now), Catalog: g.catalog.Load,
 		Picker: g.versionPicker, Quota: g.quota, Retries: g.retryBudget, Crashes: g.crashRegister,
-		Metrics: g.metrics, Logger: logger, Now: now, Leaving: g.stopTimes,
-		Elsewhere: func() bool { return g.peers.otherAcceptsRequests(now()) },
+		Metrics: g.metrics, Logger: logger, Now: now, ShutdownStatus: g.stopTimes,
+		OthersAccept: func() bool { return g.peers.otherAcceptsRequests(now()) },
 	})
-	g.ingress = ingress.New(ingress.Parts{
+	g.ingress = ingress.New(ingress.Dependencies{
 		Handler: requests, Catalog: g.catalog.Load, Metrics: g.metrics, Logger: logger, Now: now,
 	})
 	return g
@@ -230,7 +230,7 @@
 
 // Run serves until the context ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
-	callers, err := g.listen("tcp", g.settings.Callers)
+	callers, err := g.listen("tcp", g.settings.CallerAddress)
 	if err != nil {
 		return err
 	}
@@ -238,13 +238,13 @@
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, background := errgroup.WithContext(background)
-	links, err := g.listen("tcp", g.settings.Links)
+	links, err := g.listen("tcp", g.settings.LinkAddress)
 	if err != nil {
 		return err
 	}
 	server := link.Serve(links, g.mesh.Serve)
-	for _, address := range g.settings.Seeds {
-		g.mesh.Know(g.now(), address)
+	for _, address := range g.settings.SeedAddresses {
+		g.mesh.AddPeer(g.now(), address)
 	}
 	group.Go(func() error { return g.mesh.Run(background) })
 	group.Go(func() error { return g.granter.Run(background) })
@@ -256,8 +256,10 @@
 	group.Go(func() error { return g.peers.register(background) })
 	group.Go(func() error { return g.follower.Run(background) })
 	group.Go(func() error { return g.sweep(background) })
-	group.Go(func() error { return g.serveHTTP(background, g.settings.Readiness, http.HandlerFunc(g.serveReadiness)) })
-	group.Go(func() error { return g.serveHTTP(background, g.settings.Metrics, g.metrics.handler()) })
+	group.Go(func() error {
+		return g.serveHTTP(background, g.settings.ReadinessAddress, http.HandlerFunc(g.serveReadiness))
+	})
+	group.Go(func() error { return g.serveHTTP(background, g.settings.MetricsAddress, g.metrics.handler()) })
 	group.Go(func() error { return g.ingress.Serve(callers) })
 	group.Go(func() error {
 		select {
@@ -280,11 +282,11 @@
 	now := g.now()
 	g.stop.Store(&stopWindow{start: now, end: now.Add(grace - stopMargin)})
 	g.peers.invalidateScheduler()
-	g.mesh.Farewell()
+	g.mesh.AnnounceLeaving()
 	ctx, cancel := context.WithTimeout(context.Background(), grace-stopMargin)
 	defer cancel()
-	err := g.ingress.Stop(ctx)
-	g.mesh.Gone()
+	err := g.ingress.Shutdown(ctx)
+	g.mesh.AnnounceExit()
 	return err
 }
 
@@ -321,7 +323,7 @@
 			return nil
 		case <-ticker.C:
 			now := g.now()
-			g.pool.Sweep(now)
+			g.pool.CloseExpired(now)
 			g.logOmittedLines(now)
 			if g.roster.Expire(now) {
 				g.logger.Info("expired upstreams dropped")
@@ -333,17 +335,17 @@
 
 func (g *Gateway) reportHeldSlots(ctx context.Context) error {
 	for ctx.Err() == nil {
-		g.permits.TellHeld(g.now())
-		wait.For(ctx, permit.TellEvery)
+		g.permits.ReportHeld(g.now())
+		wait.For(ctx, permit.ReportInterval)
 	}
 	return nil
 }
 
 // storePollPause returns the pause before the next watch of the store.
 func (g *Gateway) storePollPause() time.Duration {
-	pause := min(minStorePollPause+time.Duration(g.mesh.Known())*storePollPausePerPeer, maxStorePollPause)
+	pause := min(minStorePollPause+time.Duration(g.mesh.PeerCount())*storePollPausePerPeer, maxStorePollPause)
 	if g.peers.peersPollStore(g.now()) {
-		return max(pause, time.Duration(peerInformedPauseShare*float64(g.settings.Apply)))
+		return max(pause, time.Duration(peerInformedPauseShare*float64(g.settings.ConfigApplyLimit)))
 	}
 	return pause
 }
@@ -360,7 +362,7 @@
 		{Prefix: speedsKey, View: g.speedStore},
 	}
 	return follow.New(g.store, views, follow.Options{
-		WatchPause: g.storePollPause, WatchTimeout: g.settings.Apply,
+		WatchPause: g.storePollPause, WatchTimeout: g.settings.ConfigApplyLimit,
 		OnLost: func(time.Time) { g.peers.setStoreLost(true) },
 		OnRegained: func(now time.Time) {
 			g.roster.StoreRegained(now)
@@ -378,8 +380,8 @@
 			return
 		}
 		if g.lastChange.CompareAndSwap(known, revision) {
-			if g.mesh.Hub() {
-				g.mesh.Hurry()
+			if g.mesh.IsHub() {
+				g.mesh.GossipNow()
 			}
 			return
 		}
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -123,11 +123,11 @@
 		// successor would start without the learned estimates. As the process has
 		// not restarted, it keeps its former rank.
 		p.mu.Lock()
-		p.rank = min(p.rank, m.rank(item.Created))
+		p.rank = min(p.rank, m.rank(item.CreatedRevision))
 		p.mu.Unlock()
 		return
 	}
-	p.mesh.KnowRanked(now, m.Address, m.rank(item.Created))
+	p.mesh.AddRankedPeer(now, m.Address, m.rank(item.CreatedRevision))
 }
 
 // memberPrefix is the prefix of the gateways' registrations in the store.
@@ -135,7 +135,7 @@
 
 // register keeps the gateway registered in the store until the context ends.
 func (p *peers) register(ctx context.Context) error {
-	value, err := json.Marshal(member{Address: p.settings.Links, Run: p.runID, CPUHalvings: cpuHalvings(p.settings.Processor)})
+	value, err := json.Marshal(member{Address: p.settings.LinkAddress, Run: p.runID, CPUHalvings: cpuHalvings(p.settings.CPUCores)})
 	if err != nil {
 		return err
 	}
@@ -188,9 +188,9 @@
 	return lease, false
 }
 
-// Gossip implements mesh.Handler.
-func (p *peers) Gossip(now time.Time, g *wire.Gossip) {
-	p.granter.SetReach(p.mesh.Reach(now))
+// FillGossip implements mesh.Handler.
+func (p *peers) FillGossip(now time.Time, g *wire.Gossip) {
+	p.granter.SetReachableGateways(p.mesh.Reach(now))
 	p.mu.Lock()
 	g.Rank = p.rank
 	g.Crashes = p.gossipedCrashes
@@ -205,23 +205,23 @@
 	g.ChangeRevision = p.lastChange.Load()
 }
 
-// Heard implements mesh.Handler.
-func (p *peers) Heard(now time.Time, peer string, g *wire.Gossip) {
+// HandleGossip implements mesh.Handler.
+func (p *peers) HandleGossip(now time.Time, peer string, g *wire.Gossip) {
 	p.granter.OwnerUp(peer)
 	for _, c := range g.Crashes {
-		if p.crashRegister.Learn(now, c.Fingerprint, c.Upstream) && p.isHub() {
+		if p.crashRegister.RecordRemote(now, c.Fingerprint, c.Upstream) && p.isHub() {
 			p.recordCrash(c.Fingerprint, c.Upstream)
 		}
 	}
 	p.requestMissing(now, peer, g)
-	p.permits.Follow(now)
+	p.permits.UpdateScheduler(now)
 }
 
-// Receive implements mesh.Handler.
-func (p *peers) Receive(now time.Time, peer string, e *wire.Envelope) {
+// HandleMessage implements mesh.Handler.
+func (p *peers) HandleMessage(now time.Time, peer string, e *wire.Envelope) {
 	switch body := e.Body.(type) {
 	case *wire.Envelope_PlaceVerdict:
-		p.permits.Verdict(body.PlaceVerdict)
+		p.permits.HandleDecision(body.PlaceVerdict)
 	case *wire.Envelope_MoveReport:
 		p.rolloutController.receiveReport(peer, body.MoveReport)
 	case *wire.Envelope_MoveState:
@@ -232,8 +232,8 @@
 		})
 		p.mesh.Send(peer, quotaMessage(p.quotaTotals(now, peer)))
 	case *wire.Envelope_QuotaTotals:
-		p.quota.Hear(now, quota.Totals{
-			Run: body.QuotaTotals.Run, Others: body.QuotaTotals.Others, Part: body.QuotaTotals.Part, Fresh: body.QuotaTotals.Fresh,
+		p.quota.ApplyTotals(now, quota.Totals{
+			LedgerRun: body.QuotaTotals.Run, OthersUsed: body.QuotaTotals.Others, Coverage: body.QuotaTotals.Part, AllJustStarted: body.QuotaTotals.Fresh,
 		})
 	case *wire.Envelope_SnapshotAsk:
 		p.mesh.Send(peer, &wire.Envelope{Body: &wire.Envelope_Snapshot{Snapshot: p.buildSnapshot(body.SnapshotAsk)}})
@@ -242,19 +242,19 @@
 	case *wire.Envelope_Snapshot:
 		p.applySnapshot(now, peer, body.Snapshot)
 	default:
-		permit.Serve(now, p.granter, peer, e)
+		permit.HandleMessage(now, p.granter, peer, e)
 	}
 }
 
-// Down implements mesh.Handler.
-func (p *peers) Down(now time.Time, peer string) {
+// PeerDown implements mesh.Handler.
+func (p *peers) PeerDown(now time.Time, peer string) {
 	p.mu.Lock()
 	delete(p.storeReachedAt, peer)
 	p.schedulerCachedAt = time.Time{}
 	p.mu.Unlock()
 	p.granter.OwnerDown(peer)
-	p.permits.Down(peer)
-	p.permits.Follow(now)
+	p.permits.GatewayDown(peer)
+	p.permits.UpdateScheduler(now)
 }
 
 // scheduler returns the gateway that grants engine slots as this one sees it: the one
@@ -337,10 +337,10 @@
 }
 
 // deliverVerdict sends a scheduling decision to the gateway that requested the slot.
-func (p *peers) deliverVerdict(verdict board.Verdict) {
-	message := permit.VerdictMessage(verdict)
+func (p *peers) deliverVerdict(verdict board.Decision) {
+	message := permit.DecisionMessage(verdict)
 	if verdict.Owner == p.settings.Name {
-		p.permits.Verdict(message.GetPlaceVerdict())
+		p.permits.HandleDecision(message.GetPlaceVerdict())
 		return
 	}
 	p.mesh.Send(verdict.Owner, message)
@@ -348,7 +348,7 @@
 
 // recordCrash adds a crash that this gateway observed or relays to its gossip.
 func (p *peers) recordCrash(fingerprint uint64, upstream string) {
-	p.mesh.Hurry()
+	p.mesh.GossipNow()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.gossipedCrashes = append(p.gossipedCrashes, &wire.CrashSeen{Fingerprint: fingerprint, Upstream: upstream})
@@ -367,7 +367,7 @@
 		case "":
 		case p.settings.Name:
 			p.ledger.Report(now, p.settings.Name, report)
-			p.quota.Hear(now, p.quotaTotals(now, p.settings.Name))
+			p.quota.ApplyTotals(now, p.quotaTotals(now, p.settings.Name))
 		default:
 			p.mesh.Send(scheduler, &wire.Envelope{Body: &wire.Envelope_QuotaReport{QuotaReport: &wire.QuotaReport{
 				Run: report.Run, AgeMs: uint32(report.Age.Milliseconds()), Used: report.Used,
@@ -384,7 +384,7 @@
 
 func quotaMessage(t quota.Totals) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_QuotaTotals{QuotaTotals: &wire.QuotaTotals{
-		Run: t.Run, Part: t.Part, Others: t.Others, Fresh: t.Fresh,
+		Run: t.LedgerRun, Part: t.Coverage, Others: t.OthersUsed, Fresh: t.AllJustStarted,
 	}}}
 }
 
@@ -399,4 +399,4 @@
 // gatewayCount returns how many gateways share the fleet-wide limits. Gateways that
 // are registered but have sent no gossip yet count: after a restart of all of them,
 // each would otherwise take the whole limit for itself.
-func (p *peers) gatewayCount() int { return p.mesh.Known() + 1 }
+func (p *peers) gatewayCount() int { return p.mesh.PeerCount() + 1 }
--- a/internal/role/gateway/snapshots_internal_test.go
+++ b/internal/role/gateway/snapshots_internal_test.go
@@ -28,8 +28,8 @@
 func (stateDecoder) UpstreamID(key string) string { return key }
 
 func newSnapshotGateway(name string) *Gateway {
-	return New(Parts{
-		Settings: Settings{Name: name, Apply: 4 * time.Second}, Decoder: stateDecoder{}, Dialer: &net.Dialer{},
+	return New(Dependencies{
+		Settings: Settings{Name: name, ConfigApplyLimit: 4 * time.Second}, Decoder: stateDecoder{}, Dialer: &net.Dialer{},
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
 }
--- a/internal/role/gateway/views_internal_test.go
+++ b/internal/role/gateway/views_internal_test.go
@@ -31,7 +31,7 @@
 // two arrived at once, from the store and from a peer, and peers that could not reach
 // the store never got the later one.
 func TestActiveConfigurationIsTheOnePassedOn(t *testing.T) {
-	g := New(Parts{Decoder: versionDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Decoder: versionDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	for version := 1; version < 20_000; version += 2 {
 		var wg sync.WaitGroup
 		wg.Go(func() { g.applyConfig([]byte(strconv.Itoa(version)), "peer") })
@@ -45,9 +45,9 @@
 // Guards against an engine that gets requests after it registered as draining: two
 // changes arrived at once, and the granter got the older engine list last.
 func TestGranterGetsLatestEngineList(t *testing.T) {
-	g := New(Parts{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	granted := false
-	g.granter = granter.New(time.Now, func(v board.Verdict) { granted = granted || v.Upstream != "" }, g.logger)
+	g.granter = granter.New(time.Now, func(v board.Decision) { granted = granted || v.Upstream != "" }, g.logger)
 	g.catalog.Store(catalog.New(catalog.Content{Version: 1, Services: []catalog.Service{{Name: "tutor", Engine: &catalog.Engine{Slots: 1}}}}))
 	change := func(state roster.State, revision int64) {
 		g.roster.Put(roster.Upstream{ID: "engine", Service: "tutor", Slots: 1, State: state, Revision: revision})
@@ -59,9 +59,9 @@
 		wg.Go(func() { change(roster.Draining, revision+1) })
 		wg.Wait()
 		now := time.Now()
-		g.granter.Ask(board.Ask{Owner: "me", ID: "a", Service: "tutor", Due: now.Add(time.Second), Until: now.Add(time.Minute), Prompt: 100, Output: 10})
+		g.granter.Submit(board.SlotRequest{Owner: "me", ID: "a", Service: "tutor", NextEventDue: now.Add(time.Second), Deadline: now.Add(time.Minute), PromptTokens: 100, OutputTokens: 10})
 		require.False(t, granted, "revision %d", revision)
-		g.granter.Ended("me", "a", board.End{Outcome: board.Left})
+		g.granter.Release("me", "a", board.SlotResult{Outcome: board.Canceled})
 	}
 }
 
@@ -79,7 +79,7 @@
 // Guards against a removed upstream that is passed on to peers for ever: a peer's list,
 // read before the removal, was applied after it.
 func TestStaleListIsNotPassedOn(t *testing.T) {
-	g := New(Parts{Decoder: idDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
+	g := New(Dependencies{Decoder: idDecoder{}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	now := time.Unix(1_000_000, 0)
 	stale := kv.Snapshot{Items: []kv.Item{{Key: "removed", Revision: 91}}, Revision: 102}
 	g.upstreams.Replace(now, kv.Snapshot{Items: stale.Items, Revision: 99})
--- a/internal/sched/local/local.go
+++ b/internal/sched/local/local.go
@@ -90,7 +90,7 @@
 
 // Pick implements flow.Picker. It waits only if all upstreams of the service have just
 // disappeared.
-func (c *Chooser) Pick(ctx context.Context, now time.Time, req flow.Ask) (flow.Place, error) {
+func (c *Chooser) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Placement, error) {
 	upstreams := c.readyUpstreams(req.Service)
 	for ; len(upstreams) == 0 && ctx.Err() == nil && now.Before(c.waitDeadline(req)); now = now.Add(absencePollInterval) {
 		wait.For(ctx, absencePollInterval)
@@ -106,11 +106,11 @@
 		best, found = c.cheapest(now, upstreams, req, true)
 	}
 	if !found {
-		return nil, flow.RefusePlace(noUpstreamRetryAfter, "no upstream of the service is left to try")
+		return nil, flow.RefusePlacement(noUpstreamRetryAfter, "no upstream of the service is left to try")
 	}
 	state := c.state(best.ID)
 	if c.full(state, best) {
-		return nil, flow.RefusePlace(fullRetryAfter, "all upstreams of the service are full")
+		return nil, flow.RefusePlacement(fullRetryAfter, "all upstreams of the service are full")
 	}
 	state.running++
 	return &place{chooser: c, upstream: best}, nil
@@ -118,12 +118,12 @@
 
 // waitDeadline returns until when a request waits for an upstream of a service that has
 // none.
-func (c *Chooser) waitDeadline(req flow.Ask) time.Time {
+func (c *Chooser) waitDeadline(req flow.PlacementRequest) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	deadline := c.lastPresent[req.Service].Add(maxAbsenceWait)
-	if req.Until.Before(deadline) {
-		return req.Until
+	if req.Deadline.Before(deadline) {
+		return req.Deadline
 	}
 	return deadline
 }
@@ -137,7 +137,7 @@
 }
 
 // Hold counts a request at an upstream that was chosen elsewhere.
-func (c *Chooser) Hold(u roster.Upstream) flow.Place {
+func (c *Chooser) Hold(u roster.Upstream) flow.Placement {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(u.ID).running++
@@ -155,7 +155,7 @@
 // cheapest returns the upstream with the lowest cost. Upstreams that are skipped because of
 // failures are considered only if includeSkipped is set. The order changes with each call, so
 // that equal upstreams take turns.
-func (c *Chooser) cheapest(now time.Time, upstreams []roster.Upstream, req flow.Ask, includeSkipped bool) (roster.Upstream, bool) {
+func (c *Chooser) cheapest(now time.Time, upstreams []roster.Upstream, req flow.PlacementRequest, includeSkipped bool) (roster.Upstream, bool) {
 	c.rotation++
 	rates := make([]float64, 0, len(upstreams))
 	for _, u := range upstreams {
@@ -168,7 +168,7 @@
 	for i := range upstreams {
 		u := upstreams[(uint64(i)+c.rotation)%uint64(len(upstreams))]
 		state := c.state(u.ID)
-		if !req.Allows(u.Version) || slices.Contains(req.Exclude, u.ID) || (!includeSkipped && (now.Before(state.backoffUntil) || state.failureRate.At(now) > baseline+failureMargin)) {
+		if !req.AllowsVersion(u.Version) || slices.Contains(req.ExcludedUpstreams, u.ID) || (!includeSkipped && (now.Before(state.backoffUntil) || state.failureRate.At(now) > baseline+failureMargin)) {
 			continue
 		}
 		cost := c.cost(now, state, u)
@@ -193,28 +193,28 @@
 	return running / float64(u.Slots)
 }
 
-// place is the place of one request at an upstream.
+// place is the placement of one request on an upstream.
 type place struct {
 	chooser  *Chooser
 	upstream roster.Upstream
 }
 
-// Upstream implements flow.Place.
+// Upstream implements flow.Placement.
 func (p *place) Upstream() roster.Upstream { return p.upstream }
 
-// Load implements flow.Place.
-func (p *place) Load(now time.Time, load exchange.Load) {
+// ReportLoad implements flow.Placement.
+func (p *place) ReportLoad(now time.Time, load exchange.Load) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
 	state := p.chooser.state(p.upstream.ID)
 	state.load, state.loadAt, state.ownRunningAtLoad = load, now, state.running
 }
 
-// Started implements flow.Place.
-func (p *place) Started(time.Time) {}
+// AnswerStarted implements flow.Placement.
+func (p *place) AnswerStarted(time.Time) {}
 
-// Done implements flow.Place.
-func (p *place) Done(now time.Time, o flow.Outcome, _ int) {
+// Release implements flow.Placement.
+func (p *place) Release(now time.Time, o flow.Outcome, _ int) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
 	state := p.chooser.state(p.upstream.ID)
@@ -226,13 +226,13 @@
 	case flow.Failed:
 		state.failuresInRow = 0
 		state.failureRate.Failed(now)
-	case flow.Broken:
+	case flow.Interrupted:
 		state.failureRate.Broken(now)
 	case flow.Declined:
 		state.failureRate.Failed(now)
-	case flow.Unreached:
+	case flow.Unreachable:
 		state.failuresInRow++
 		state.backoffUntil = now.Add(min(maxBackoff, minBackoff<<min(state.failuresInRow-1, 4)))
-	case flow.Left:
+	case flow.Canceled:
 	}
 }
--- a/internal/sched/permit/moments_test.go
+++ b/internal/sched/permit/moments_test.go
@@ -65,20 +65,20 @@
 	toGateway := &link{random: rand.New(rand.NewPCG(seed, 1)), ordered: ordered}
 	var client *permit.Client
 	var otherGrants atomic.Int64
-	scheduler := granter.New(time.Now, func(v board.Verdict) {
+	scheduler := granter.New(time.Now, func(v board.Decision) {
 		if v.Owner != "gateway" {
 			if v.Upstream != "" {
 				otherGrants.Add(1)
 			}
 			return
 		}
-		time.AfterFunc(toGateway.delay(time.Now()), func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
+		time.AfterFunc(toGateway.delay(time.Now()), func() { client.HandleDecision(permit.DecisionMessage(v).GetPlaceVerdict()) })
 	}, slog.New(slog.DiscardHandler))
 	scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
-	client = permit.New(permit.Parts{
+	client = permit.New(permit.Dependencies{
 		Node: "gateway", Domain: "a", Scheduler: func(time.Time) string { return "scheduler" },
 		Send: func(_ string, e *wire.Envelope) bool {
-			time.AfterFunc(toScheduler.delay(time.Now()), func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
+			time.AfterFunc(toScheduler.delay(time.Now()), func() { permit.HandleMessage(time.Now(), scheduler, "gateway", e) })
 			return true
 		},
 		Local: fixedPicker{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
@@ -89,21 +89,21 @@
 	})
 	for i := range 3 {
 		now := time.Now()
-		place, err := client.Pick(t.Context(), now, flow.Ask{
-			ID: fmt.Sprintf("request-%d", i), Service: "tutor", Route: &catalog.Route{}, Due: now.Add(600 * time.Millisecond),
-			Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		place, err := client.Pick(t.Context(), now, flow.PlacementRequest{
+			ID: fmt.Sprintf("request-%d", i), Service: "tutor", Route: &catalog.Route{}, NextEventDue: now.Add(600 * time.Millisecond),
+			Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.NoError(t, err)
-		client.TellHeld(time.Now())
-		bubble.Pass(time.Second)
+		client.ReportHeld(time.Now())
+		bubble.Sleep(time.Second)
 		later := time.Now()
-		scheduler.Ask(board.Ask{
-			Owner: "other", ID: fmt.Sprintf("other-%d", i), Service: "tutor", Domain: "a", Due: later.Add(600 * time.Millisecond),
-			Until: later.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		scheduler.Submit(board.SlotRequest{
+			Owner: "other", ID: fmt.Sprintf("other-%d", i), Service: "tutor", Domain: "a", NextEventDue: later.Add(600 * time.Millisecond),
+			Deadline: later.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.Zero(t, otherGrants.Load(), "seed %d, request %d: the engine has one slot, and it is in use", seed, i)
-		scheduler.Ended("other", fmt.Sprintf("other-%d", i), board.End{Outcome: board.Left})
-		place.Done(time.Now(), flow.Answered, 0)
-		bubble.Pass(time.Second)
+		scheduler.Release("other", fmt.Sprintf("other-%d", i), board.SlotResult{Outcome: board.Canceled})
+		place.Release(time.Now(), flow.Answered, 0)
+		bubble.Sleep(time.Second)
 	}
 }
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -36,25 +36,25 @@
 type Local interface {
 	flow.Picker
 	// Hold counts a request at an upstream that was chosen elsewhere.
-	Hold(u roster.Upstream) flow.Place
+	Hold(u roster.Upstream) flow.Placement
 }
 
-// Parts are the dependencies of a Client.
-type Parts struct {
+// Dependencies are the dependencies of a Client.
+type Dependencies struct {
 	// Node is the name of this gateway, Domain its failure domain.
 	Node, Domain string
 	// Scheduler returns the gateway that is the scheduler, or "" if there is none.
 	Scheduler func(now time.Time) string
 	// Send queues a message to a gateway.
 	Send func(node string, e *wire.Envelope) bool
-	// Own handles messages to the scheduler if that is this gateway itself.
-	Own      func(now time.Time, e *wire.Envelope)
-	Local    Local
-	Upstream func(id string) (roster.Upstream, bool)
-	Service  func(name string) *catalog.Service
-	Metrics  Metrics
-	Logger   *slog.Logger
-	Now      func() time.Time
+	// DeliverLocally handles messages to the scheduler if that is this gateway itself.
+	DeliverLocally func(now time.Time, e *wire.Envelope)
+	Local          Local
+	Upstream       func(id string) (roster.Upstream, bool)
+	Service        func(name string) *catalog.Service
+	Metrics        Metrics
+	Logger         *slog.Logger
+	Now            func() time.Time
 }
 
 // Metrics records the results of slot requests.
@@ -102,7 +102,7 @@
 
 // Client implements flow.Picker.
 type Client struct {
-	Parts
+	Dependencies
 
 	mu            sync.Mutex
 	pending       map[string]*pendingRequest
@@ -114,12 +114,12 @@
 }
 
 // New returns a client with the given dependencies.
-func New(parts Parts) *Client {
-	return &Client{Parts: parts, pending: make(map[string]*pendingRequest), places: make(map[*place]struct{})}
+func New(parts Dependencies) *Client {
+	return &Client{Dependencies: parts, pending: make(map[string]*pendingRequest), places: make(map[*place]struct{})}
 }
 
 // Pick implements flow.Picker.
-func (c *Client) Pick(ctx context.Context, now time.Time, req flow.Ask) (flow.Place, error) {
+func (c *Client) Pick(ctx context.Context, now time.Time, req flow.PlacementRequest) (flow.Placement, error) {
 	service := c.Service(req.Service)
 	if service == nil || service.Engine == nil {
 		return c.Local.Pick(ctx, now, req)
@@ -131,7 +131,7 @@
 		}
 		d, ok := c.requestSlot(ctx, scheduler, req)
 		if ctx.Err() != nil {
-			return nil, flow.RefusePlace(0, "the caller left or the deadline passed")
+			return nil, flow.RefusePlacement(0, "the caller left or the deadline passed")
 		}
 		if d.timedOut {
 			break
@@ -140,14 +140,14 @@
 			continue
 		}
 		if d.upstream == "" {
-			return nil, flow.RefusePlace(d.retryAfter, "no slot: %s", d.reason)
+			return nil, flow.RefusePlacement(d.retryAfter, "no slot: %s", d.reason)
 		}
 		if u, known := c.Upstream(d.upstream); known && u.State == roster.Ready {
 			return c.hold(c.Local.Hold(u), req, d.number), nil
 		}
 		// The scheduler does not know yet that the upstream is gone or leaving.
-		c.notify(endedMessage(req.ID, d.number, board.End{Outcome: board.Unreached}))
-		req.Exclude = append(append([]string(nil), req.Exclude...), d.upstream)
+		c.notify(endedMessage(req.ID, d.number, board.SlotResult{Outcome: board.Unreachable}))
+		req.ExcludedUpstreams = append(append([]string(nil), req.ExcludedUpstreams...), d.upstream)
 	}
 	return c.pickLocally(ctx, req)
 }
@@ -156,11 +156,11 @@
 // one, so that the scheduler learns of it. A stream that must end in time gets none: it
 // might wait in the queue of a full engine, and only the scheduler knows which engines are
 // full.
-func (c *Client) pickLocally(ctx context.Context, req flow.Ask) (flow.Place, error) {
+func (c *Client) pickLocally(ctx context.Context, req flow.PlacementRequest) (flow.Placement, error) {
 	c.Logger.Debug("choosing without the scheduler", "id", req.ID)
 	now := c.Now()
-	if req.Ending == flow.EndSure {
-		return nil, flow.RefusePlace(0, "gateway stops before the stream could complete")
+	if req.EndConstraint == flow.EndRequired {
+		return nil, flow.RefusePlacement(0, "this process shuts down before the request could complete")
 	}
 	chosen, err := c.Local.Pick(ctx, now, req)
 	if err != nil {
@@ -174,7 +174,7 @@
 }
 
 // requestSlot sends a slot request to a scheduler and waits for the decision.
-func (c *Client) requestSlot(ctx context.Context, scheduler string, req flow.Ask) (decision, bool) {
+func (c *Client) requestSlot(ctx context.Context, scheduler string, req flow.PlacementRequest) (decision, bool) {
 	p := &pendingRequest{scheduler: scheduler, decisions: make(chan decision, 2)}
 	c.mu.Lock()
 	c.lastNumber++
@@ -193,17 +193,17 @@
 	d, ok := c.await(ctx, p, req)
 	c.Metrics.Placed(d.result(ok), c.Now().Sub(askedAt))
 	if !ok || d.timedOut {
-		c.sendTo(scheduler, endedMessage(req.ID, p.number, board.End{Outcome: board.Left}))
+		c.sendTo(scheduler, endedMessage(req.ID, p.number, board.SlotResult{Outcome: board.Canceled}))
 	}
 	d.number = p.number
 	return d, ok
 }
 
 // await waits for the first reply, and then for the decision.
-func (c *Client) await(ctx context.Context, p *pendingRequest, req flow.Ask) (decision, bool) {
+func (c *Client) await(ctx context.Context, p *pendingRequest, req flow.PlacementRequest) (decision, bool) {
 	firstReply := time.NewTimer(firstReplyTimeout)
 	defer firstReply.Stop()
-	timeout := time.NewTimer(min(req.Until.Sub(c.Now()), decisionTimeout))
+	timeout := time.NewTimer(min(req.Deadline.Sub(c.Now()), decisionTimeout))
 	defer timeout.Stop()
 	for {
 		select {
@@ -224,20 +224,20 @@
 	}
 }
 
-func (c *Client) slotRequestMessage(number uint64, req flow.Ask) *wire.Envelope {
+func (c *Client) slotRequestMessage(number uint64, req flow.PlacementRequest) *wire.Envelope {
 	now := c.Now()
 	return &wire.Envelope{Body: &wire.Envelope_PlaceAsk{PlaceAsk: &wire.PlaceAsk{
 		Id: req.ID, Number: number, Service: req.Service, Tier: uint32(req.Tier), Domain: c.Domain,
-		DueMs: req.Due.Sub(now).Milliseconds(), UntilMs: req.Until.Sub(now).Milliseconds(),
-		Prompt: uint32(req.Prompt), Output: uint32(req.Output), MaxGapMs: uint32(req.Route.MaxGap.Milliseconds()),
-		Exclude: req.Exclude, Again: req.Again, Fingerprint: req.Fingerprint,
-		OnlyVersion: req.Only, NotVersion: req.Not, End: endingMessage(req.Ending),
+		DueMs: req.NextEventDue.Sub(now).Milliseconds(), UntilMs: req.Deadline.Sub(now).Milliseconds(),
+		Prompt: uint32(req.PromptTokens), Output: uint32(req.OutputTokens), MaxGapMs: uint32(req.Route.EventGapTarget.Milliseconds()),
+		Exclude: req.ExcludedUpstreams, Again: req.Resent, Fingerprint: req.Fingerprint,
+		OnlyVersion: req.RequiredVersion, NotVersion: req.ExcludedVersion, End: endingMessage(req.EndConstraint),
 	}}}
 }
 
 func (c *Client) sendTo(node string, e *wire.Envelope) bool {
 	if node == c.Node {
-		c.Own(c.Now(), e)
+		c.DeliverLocally(c.Now(), e)
 		return true
 	}
 	return c.Send(node, e)
@@ -250,16 +250,16 @@
 	}
 }
 
-// Verdict passes a scheduler's decision to the request that waits for it. A slot granted
-// after its slot request was abandoned is released by its number, because the request may
-// have another slot by then.
-func (c *Client) Verdict(v *wire.PlaceVerdict) {
+// HandleDecision passes a scheduler's decision to the request that waits for it. A slot
+// granted after its slot request was abandoned is released by its number, because the
+// request may have another slot by then.
+func (c *Client) HandleDecision(v *wire.PlaceVerdict) {
 	c.mu.Lock()
 	p := c.pending[v.Id]
 	c.mu.Unlock()
 	if p == nil || p.number != v.Number {
 		if v.Upstream != "" {
-			c.notify(endedMessage(v.Id, v.Number, board.End{Outcome: board.Left}))
+			c.notify(endedMessage(v.Id, v.Number, board.SlotResult{Outcome: board.Canceled}))
 		}
 		return
 	}
@@ -269,8 +269,9 @@
 	}
 }
 
-// Down handles the loss of a gateway. Its pending slot requests go to another scheduler.
-func (c *Client) Down(node string) {
+// GatewayDown handles the loss of a gateway. Its pending slot requests go to another
+// scheduler.
+func (c *Client) GatewayDown(node string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.pending {
@@ -284,8 +285,8 @@
 	}
 }
 
-// Follow checks for a new scheduler and reports the held slots to it.
-func (c *Client) Follow(now time.Time) {
+// UpdateScheduler checks for a new scheduler and reports the held slots to it.
+func (c *Client) UpdateScheduler(now time.Time) {
 	scheduler := c.Scheduler(now)
 	c.mu.Lock()
 	previous := c.lastScheduler
@@ -295,13 +296,13 @@
 		return
 	}
 	c.Logger.Info("scheduler", "node", scheduler, "before", previous)
-	c.TellHeld(now)
+	c.ReportHeld(now)
 }
 
-// TellHeld reports all held slots to the scheduler. It is repeated regularly because a
+// ReportHeld reports all held slots to the scheduler. It is repeated regularly because a
 // message may be lost, and because a slot granted by a gateway that was the scheduler for
 // a moment would otherwise stay in use there permanently.
-func (c *Client) TellHeld(now time.Time) {
+func (c *Client) ReportHeld(now time.Time) {
 	scheduler := c.Scheduler(now)
 	if scheduler == "" {
 		return
@@ -315,10 +316,10 @@
 	c.sendTo(scheduler, &wire.Envelope{Body: &wire.Envelope_PlacesHeld{PlacesHeld: held}})
 }
 
-// TellEvery is the interval between reports of held slots.
-const TellEvery = time.Second
+// ReportInterval is the interval between reports of held slots.
+const ReportInterval = time.Second
 
-func (c *Client) hold(local flow.Place, req flow.Ask, number uint64) flow.Place {
+func (c *Client) hold(local flow.Placement, req flow.PlacementRequest, number uint64) flow.Placement {
 	p := &place{client: c, local: local, upstream: local.Upstream(), request: req, number: number}
 	c.mu.Lock()
 	c.places[p] = struct{}{}
@@ -329,9 +330,9 @@
 // place is a slot on an engine.
 type place struct {
 	client   *Client
-	local    flow.Place
+	local    flow.Placement
 	upstream roster.Upstream
-	request  flow.Ask
+	request  flow.PlacementRequest
 	number   uint64
 
 	mu        sync.Mutex
@@ -339,19 +340,19 @@
 	load      *exchange.Load
 }
 
-// Upstream implements flow.Place.
+// Upstream implements flow.Placement.
 func (p *place) Upstream() roster.Upstream { return p.upstream }
 
-// Load implements flow.Place.
-func (p *place) Load(now time.Time, load exchange.Load) {
-	p.local.Load(now, load)
+// ReportLoad implements flow.Placement.
+func (p *place) ReportLoad(now time.Time, load exchange.Load) {
+	p.local.ReportLoad(now, load)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.load = &load
 }
 
-// Started implements flow.Place.
-func (p *place) Started(now time.Time) {
+// AnswerStarted implements flow.Placement.
+func (p *place) AnswerStarted(now time.Time) {
 	message := &wire.PlaceStarted{Id: p.request.ID}
 	p.mu.Lock()
 	p.startedAt = now
@@ -359,13 +360,13 @@
 		message.LoadKnown, message.Running, message.Waiting = true, uint32(p.load.Running), uint32(p.load.Waiting)
 	}
 	p.mu.Unlock()
-	p.local.Started(now)
+	p.local.AnswerStarted(now)
 	p.client.notify(&wire.Envelope{Body: &wire.Envelope_PlaceStarted{PlaceStarted: message}})
 }
 
-// Done implements flow.Place.
-func (p *place) Done(now time.Time, o flow.Outcome, tokens int) {
-	p.local.Done(now, o, tokens)
+// Release implements flow.Placement.
+func (p *place) Release(now time.Time, o flow.Outcome, tokens int) {
+	p.local.Release(now, o, tokens)
 	p.client.mu.Lock()
 	delete(p.client.places, p)
 	p.client.mu.Unlock()
@@ -375,22 +376,22 @@
 		stream = now.Sub(p.startedAt)
 	}
 	p.mu.Unlock()
-	p.client.notify(endedMessage(p.request.ID, p.number, board.End{Outcome: boardOutcome(o), Stream: stream, Tokens: tokens}))
+	p.client.notify(endedMessage(p.request.ID, p.number, board.SlotResult{Outcome: boardOutcome(o), StreamTime: stream, Tokens: tokens}))
 }
 
 func (p *place) heldMessage() *wire.PlaceHeld {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &wire.PlaceHeld{
-		Id: p.request.ID, Number: p.number, Upstream: p.upstream.ID, Prompt: uint32(p.request.Prompt), Output: uint32(p.request.Output),
+		Id: p.request.ID, Number: p.number, Upstream: p.upstream.ID, Prompt: uint32(p.request.PromptTokens), Output: uint32(p.request.OutputTokens),
 		Started: !p.startedAt.IsZero(),
 	}
 }
 
-func endedMessage(id string, number uint64, end board.End) *wire.Envelope {
+func endedMessage(id string, number uint64, end board.SlotResult) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_PlaceEnded{PlaceEnded: &wire.PlaceEnded{
 		Id: id, Number: number, Outcome: uint32(end.Outcome),
-		StreamUs: uint64(end.Stream.Microseconds()), Tokens: uint32(end.Tokens),
+		StreamUs: uint64(end.StreamTime.Microseconds()), Tokens: uint32(end.Tokens),
 	}}}
 }
 
@@ -400,12 +401,12 @@
 		return board.Answered
 	case flow.Declined:
 		return board.Declined
-	case flow.Unreached:
-		return board.Unreached
-	case flow.Left:
-		return board.Left
-	case flow.Broken:
-		return board.Broken
+	case flow.Unreachable:
+		return board.Unreachable
+	case flow.Canceled:
+		return board.Canceled
+	case flow.Interrupted:
+		return board.Interrupted
 	case flow.Failed:
 	}
 	return board.Failed
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -24,18 +24,18 @@
 // fixedPicker always picks the same engine.
 type fixedPicker struct{}
 
-func (fixedPicker) Pick(context.Context, time.Time, flow.Ask) (flow.Place, error) {
+func (fixedPicker) Pick(context.Context, time.Time, flow.PlacementRequest) (flow.Placement, error) {
 	return fixedPlace{}, nil
 }
-func (fixedPicker) Hold(roster.Upstream) flow.Place { return fixedPlace{} }
+func (fixedPicker) Hold(roster.Upstream) flow.Placement { return fixedPlace{} }
 
 // fixedPlace is a slot on the engine.
 type fixedPlace struct{}
 
-func (fixedPlace) Upstream() roster.Upstream         { return engine }
-func (fixedPlace) Load(time.Time, exchange.Load)     {}
-func (fixedPlace) Started(time.Time)                 {}
-func (fixedPlace) Done(time.Time, flow.Outcome, int) {}
+func (fixedPlace) Upstream() roster.Upstream            { return engine }
+func (fixedPlace) ReportLoad(time.Time, exchange.Load)  {}
+func (fixedPlace) AnswerStarted(time.Time)              {}
+func (fixedPlace) Release(time.Time, flow.Outcome, int) {}
 
 // noMetrics discards all metrics.
 type noMetrics struct{}
@@ -50,19 +50,19 @@
 		const latency = 60 * time.Millisecond
 		var client *permit.Client
 		granted := make(map[string]int)
-		scheduler := granter.New(time.Now, func(v board.Verdict) {
+		scheduler := granter.New(time.Now, func(v board.Decision) {
 			if v.Upstream != "" {
 				granted[v.Owner]++
 			}
 			if v.Owner == "gateway" {
-				time.AfterFunc(latency, func() { client.Verdict(permit.VerdictMessage(v).GetPlaceVerdict()) })
+				time.AfterFunc(latency, func() { client.HandleDecision(permit.DecisionMessage(v).GetPlaceVerdict()) })
 			}
 		}, slog.New(slog.DiscardHandler))
 		scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
-		client = permit.New(permit.Parts{
+		client = permit.New(permit.Dependencies{
 			Node: "gateway", Domain: "a", Scheduler: func(time.Time) string { return "scheduler" },
 			Send: func(_ string, e *wire.Envelope) bool {
-				time.AfterFunc(latency, func() { permit.Serve(time.Now(), scheduler, "gateway", e) })
+				time.AfterFunc(latency, func() { permit.HandleMessage(time.Now(), scheduler, "gateway", e) })
 				return true
 			},
 			Local: fixedPicker{}, Upstream: func(string) (roster.Upstream, bool) { return engine, true },
@@ -72,22 +72,22 @@
 			Metrics: noMetrics{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 		})
 		now := time.Now()
-		place, err := client.Pick(t.Context(), now, flow.Ask{
-			ID: "one", Service: "tutor", Route: &catalog.Route{}, Due: now.Add(600 * time.Millisecond),
-			Until: now.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		place, err := client.Pick(t.Context(), now, flow.PlacementRequest{
+			ID: "one", Service: "tutor", Route: &catalog.Route{}, NextEventDue: now.Add(600 * time.Millisecond),
+			Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.NoError(t, err)
 		// The scheduler hears of the slot after the slot request was withdrawn.
-		client.TellHeld(time.Now())
-		bubble.Pass(4 * latency)
+		client.ReportHeld(time.Now())
+		bubble.Sleep(4 * latency)
 		later := time.Now()
-		scheduler.Ask(board.Ask{
-			Owner: "other", ID: "two", Service: "tutor", Domain: "a", Due: later.Add(600 * time.Millisecond),
-			Until: later.Add(15 * time.Second), Prompt: 1000, Output: 100,
+		scheduler.Submit(board.SlotRequest{
+			Owner: "other", ID: "two", Service: "tutor", Domain: "a", NextEventDue: later.Add(600 * time.Millisecond),
+			Deadline: later.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
 		require.Equal(t, 1, granted["gateway"])
 		require.Zero(t, granted["other"], "the engine has one slot, and it is in use")
-		place.Done(later, flow.Answered, 0)
-		bubble.Pass(2 * latency)
+		place.Release(later, flow.Answered, 0)
+		bubble.Sleep(2 * latency)
 	})
 }
--- a/internal/trial/moves/moves.go
+++ b/internal/trial/moves/moves.go
@@ -1,6 +1,6 @@
 // Package moves simulates seeded version moves. It uses the same share, evidence,
-// brake and step logic as the real processes, with random requests instead of
-// running processes.
+// circuit breaker and step logic as the real processes, with random requests instead
+// of running processes.
 package moves
 
 import (
@@ -31,24 +31,24 @@
 // Kinds returns all kinds of new versions.
 func Kinds() []Kind { return []Kind{Good, FailsNow, SlowNow, Later, UnderLoad, OneRoute} }
 
-// Trouble is a disturbance that is independent of the new version.
-type Trouble string
+// Disturbance is a disturbance that is independent of the new version.
+type Disturbance string
 
 // The disturbances.
 const (
-	Calm         Trouble = "calm"
-	StoreOutage  Trouble = "store outage in the middle"
-	PausedHolder Trouble = "holder paused past its lease"
+	Calm         Disturbance = "calm"
+	StoreOutage  Disturbance = "store outage in the middle"
+	PausedHolder Disturbance = "holder paused past its lease"
 )
 
-// Troubles returns all disturbances.
-func Troubles() []Trouble { return []Trouble{Calm, StoreOutage, PausedHolder} }
+// Disturbances returns all disturbances.
+func Disturbances() []Disturbance { return []Disturbance{Calm, StoreOutage, PausedHolder} }
 
 // Setting holds the parameters of one simulated move.
 type Setting struct {
-	Seed    uint64
-	Kind    Kind
-	Trouble Trouble
+	Seed        uint64
+	Kind        Kind
+	Disturbance Disturbance
 	// Rate is the number of requests of the service per second.
 	Rate float64
 	// Span is the time from start to deadline.
@@ -59,16 +59,16 @@
 type Outcome struct {
 	Verdict document.Verdict
 	InTime  bool
-	// Requests is the number of all requests, and Harmed the number of those affected
-	// by a fault of the new version.
+	// Requests is the number of all requests, and Affected the number of those
+	// affected by a fault of the new version.
 	Requests int
-	Harmed   int
-	// MostShare is the largest traffic share of the new version at a request affected
+	Affected int
+	// MaxFaultyShare is the largest traffic share of the new version at a request affected
 	// by its fault.
-	MostShare float64
-	// FaultToNone is the time from the first request affected by a fault of the new
+	MaxFaultyShare float64
+	// FaultToLastRequest is the time from the first request affected by a fault of the new
 	// version to the last request sent to that version.
-	FaultToNone time.Duration
+	FaultToLastRequest time.Duration
 }
 
 const (
@@ -84,14 +84,14 @@
 	slowFactor = 4
 	// stepInterval is the interval between steps of the process that leads the move.
 	stepInterval = time.Second
-	// propagationDelay is the time after which other processes know of a brake; the
-	// agent or entry that brakes stops at once.
+	// propagationDelay is the time after which other processes know that a circuit
+	// breaker tripped; its agent or entry stops at once.
 	propagationDelay = time.Second
 	// overloadShare is the traffic share from which the fault of UnderLoad occurs.
 	overloadShare = 0.4
 	// laterFaultStart is the fraction of the span after which the fault of Later begins.
 	laterFaultStart = 0.3
-	// entries is the number of entries, each with its own brake.
+	// entries is the number of entries, each with its own circuit breaker.
 	entries = 3
 )
 
@@ -107,8 +107,8 @@
 	agentBraked   [upstreams]bool
 	firstBrakedAt time.Time
 	watch         *evidence.Watch
-	agentBrakes   [upstreams]*evidence.Brake
-	entryBrakes   [entries]*evidence.Brake
+	agentBrakes   [upstreams]*evidence.Breaker
+	entryBrakes   [entries]*evidence.Breaker
 	entryStopped  [entries]bool
 	stage         *evidence.Board
 	stageState    document.MoveState
@@ -132,14 +132,14 @@
 			step = step.Add(stepInterval)
 		}
 		sim.request(now, number)
-		if sim.hasState && sim.state.Verdict() == document.TakenBack {
+		if sim.hasState && sim.state.Verdict() == document.RolledBack {
 			break
 		}
 	}
 	sim.outcome.Verdict = sim.state.Verdict()
-	sim.outcome.InTime = sim.state.Verdict() == document.Completed && !sim.state.Since().After(sim.rule.By())
+	sim.outcome.InTime = sim.state.Verdict() == document.Completed && !sim.state.Since().After(sim.rule.Deadline())
 	if !sim.firstFaultAt.IsZero() && sim.lastNewRunAt.After(sim.firstFaultAt) {
-		sim.outcome.FaultToNone = sim.lastNewRunAt.Sub(sim.firstFaultAt)
+		sim.outcome.FaultToLastRequest = sim.lastNewRunAt.Sub(sim.firstFaultAt)
 	}
 	return sim.outcome, nil
 }
@@ -157,10 +157,10 @@
 		}
 	}
 	for i := range sim.agentBrakes {
-		sim.agentBrakes[i] = evidence.NewBrake()
+		sim.agentBrakes[i] = evidence.NewBreaker()
 	}
 	for i := range sim.entryBrakes {
-		sim.entryBrakes[i] = evidence.NewBrake()
+		sim.entryBrakes[i] = evidence.NewBreaker()
 	}
 	return sim, nil
 }
@@ -203,14 +203,14 @@
 }
 
 func (sim *simulation) routesToNew(now time.Time, entry int, id string) bool {
-	if !sim.hasState || sim.state.Verdict() == document.TakenBack || sim.entryStopped[entry] {
+	if !sim.hasState || sim.state.Verdict() == document.RolledBack || sim.entryStopped[entry] {
 		return false
 	}
 	if sim.state.Verdict() == document.Completed {
 		return true
 	}
 	brakeKnown := !sim.firstBrakedAt.IsZero() && now.Sub(sim.firstBrakedAt) > propagationDelay
-	return !brakeKnown && move.Chosen(sim.rule, id, sim.state.Share())
+	return !brakeKnown && move.InShare(sim.rule, id, sim.state.Share())
 }
 
 // run draws the result and latency of one run.
@@ -220,24 +220,24 @@
 	if onNew && sim.faulty(now, route) {
 		if sim.setting.Kind == SlowNow {
 			latency *= slowFactor
-			sim.recordHarm(now)
+			sim.recordAffected(now)
 		} else {
 			rate = faultyFailureRate
 		}
 	}
 	failed = sim.random.Float64() < rate
 	if failed && rate == faultyFailureRate {
-		sim.recordHarm(now)
+		sim.recordAffected(now)
 	}
 	return failed, latency
 }
 
-func (sim *simulation) recordHarm(now time.Time) {
-	sim.outcome.Harmed++
+func (sim *simulation) recordAffected(now time.Time) {
+	sim.outcome.Affected++
 	if sim.firstFaultAt.IsZero() {
 		sim.firstFaultAt = now
 	}
-	sim.outcome.MostShare = max(sim.outcome.MostShare, sim.state.Share())
+	sim.outcome.MaxFaultyShare = max(sim.outcome.MaxFaultyShare, sim.state.Share())
 }
 
 func (sim *simulation) faulty(now time.Time, route string) bool {
@@ -274,10 +274,10 @@
 // store outage, and a paused leader does nothing until another takes over the lease.
 func (sim *simulation) step(now time.Time) {
 	fraction := float64(now.Sub(sim.start)) / float64(sim.setting.Span)
-	if sim.setting.Trouble == StoreOutage && fraction > 0.3 && fraction < 0.5 {
+	if sim.setting.Disturbance == StoreOutage && fraction > 0.3 && fraction < 0.5 {
 		return
 	}
-	if sim.setting.Trouble == PausedHolder && fraction > 0.3 && now.Sub(sim.start) < time.Duration(0.3*float64(sim.setting.Span))+12*time.Second {
+	if sim.setting.Disturbance == PausedHolder && fraction > 0.3 && now.Sub(sim.start) < time.Duration(0.3*float64(sim.setting.Span))+12*time.Second {
 		return
 	}
 	for _, stopped := range sim.entryStopped {
@@ -301,7 +301,7 @@
 			braked++
 		}
 	}
-	next, changed := move.Step(now, sim.rule, sim.state, sim.hasState, move.Observed{All: merged, Stage: merged.Since(sim.stage), Fault: sim.watch.Update(merged, "old", "new"), Braked: braked, Ready: true})
+	next, changed := move.Step(now, sim.rule, sim.state, sim.hasState, move.Observed{All: merged, Stage: merged.Since(sim.stage), Fault: sim.watch.Update(merged, "old", "new"), StoppedUpstreams: braked, Ready: true})
 	if changed {
 		sim.state, sim.hasState = next, true
 	}
--- a/internal/trial/pattern/play.go
+++ b/internal/trial/pattern/play.go
@@ -77,11 +77,11 @@
 	random       *rand.Rand
 }
 
-// NewPolicy creates the policy of a simulation.
-type NewPolicy func(p *simulation) Policy
+// PolicyFactory creates the policy of a simulation.
+type PolicyFactory func(p *simulation) Policy
 
 // Simulate runs the pattern and returns a summary of its requests.
-func Simulate(p Pattern, seed uint64, policy NewPolicy) Result {
+func Simulate(p Pattern, seed uint64, policy PolicyFactory) Result {
 	random := rand.New(rand.NewPCG(seed, workloadStream))
 	s := &simulation{pattern: p, random: rand.New(rand.NewPCG(seed, failureStream))}
 	model := p.engineModel()
@@ -120,7 +120,7 @@
 func (s *simulation) tick(now time.Time) {
 	s.policy.tick(now)
 	if now.Before(startTime.Add(s.pattern.Duration + 5*time.Second)) {
-		s.schedule(now.Add(board.TickEvery), s.tick)
+		s.schedule(now.Add(board.TickInterval), s.tick)
 	}
 }
 
--- a/internal/version/move/move.go
+++ b/internal/version/move/move.go
@@ -48,8 +48,8 @@
 	Stage *evidence.Board
 	// Fault is the finding of the watch over the newest reports.
 	Fault evidence.Finding
-	// Braked is the number of upstreams that stopped themselves.
-	Braked int
+	// StoppedUpstreams is the number of upstreams that stopped themselves.
+	StoppedUpstreams int
 	// Ready reports whether any upstream of the new version can be chosen.
 	Ready bool
 }
@@ -64,9 +64,9 @@
 		return state, false
 	}
 	if why, bad := fault(m, o); bad {
-		return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why), true
+		return document.NewMoveState(state.Stage(), 0, document.RolledBack, now, why), true
 	}
-	if now.After(m.By()) {
+	if now.After(m.Deadline()) {
 		return stepLate(now, m, state, o)
 	}
 	return advance(now, m, state, o)
@@ -76,8 +76,8 @@
 	if now.Before(m.Start()) {
 		return document.MoveState{}, false
 	}
-	if now.After(m.By()) {
-		return document.NewMoveState(0, 0, document.TakenBack, now, "the deadline passed before the move began; set a later one"), true
+	if now.After(m.Deadline()) {
+		return document.NewMoveState(0, 0, document.RolledBack, now, "the deadline passed before the move began; set a later one"), true
 	}
 	if !o.Ready {
 		return document.MoveState{}, false
@@ -86,9 +86,9 @@
 }
 
 func fault(m rules.Move, o Observed) (string, bool) {
-	if o.Braked > 0 {
+	if o.StoppedUpstreams > 0 {
 		total := o.All.Total(m.To())
-		return fmt.Sprintf("%d upstreams of %s stopped themselves: %d of %d runs failed", o.Braked, m.To(), total.Failures(), total.Runs()), true
+		return fmt.Sprintf("%d upstreams of %s stopped themselves: %d of %d runs failed", o.StoppedUpstreams, m.To(), total.Failures(), total.Runs()), true
 	}
 	finding := o.Fault
 	if finding.Verdict() == evidence.Open {
@@ -97,10 +97,10 @@
 	switch finding.Verdict() {
 	case evidence.BadFailures:
 		return fmt.Sprintf("%s fails%s: %d of %d runs against %d of %d with %s", m.To(), onRoute(finding.Route()),
-			finding.Fresh().Failures(), finding.Fresh().Runs(), finding.Old().Failures(), finding.Old().Runs(), m.From()), true
+			finding.Candidate().Failures(), finding.Candidate().Runs(), finding.Baseline().Failures(), finding.Baseline().Runs(), m.From()), true
 	case evidence.BadLatency:
 		return fmt.Sprintf("%s is slower%s: seen over %d runs against %d with %s", m.To(), onRoute(finding.Route()),
-			finding.Fresh().Runs(), finding.Old().Runs(), m.From()), true
+			finding.Candidate().Runs(), finding.Baseline().Runs(), m.From()), true
 	}
 	return "", false
 }
@@ -117,7 +117,7 @@
 // version failed, because little traffic must not keep a good version from
 // completing.
 func advance(now time.Time, m rules.Move, state document.MoveState, o Observed) (document.MoveState, bool) {
-	span, plan := m.By().Sub(m.Start()), stages[state.Stage()]
+	span, plan := m.Deadline().Sub(m.Start()), stages[state.Stage()]
 	tooEarly := now.Before(m.Start().Add(fractionOf(span, plan.earliest))) || now.Sub(state.Since()) < fractionOf(span, minStageFraction)
 	candidate := o.Stage.Total(m.To())
 	latestReached := !now.Before(m.Start().Add(fractionOf(span, plan.latest)))
@@ -143,8 +143,8 @@
 // entry may record it, not only the one that decides on moves: otherwise that one
 // would see no more failures and take the version for healthy.
 func Stopped(now time.Time, m rules.Move, state document.MoveState, who string) document.MoveState {
-	why := fmt.Sprintf("%s fails: %s stopped sending requests to it because of failures of its own callers' requests", m.To(), who)
-	return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why)
+	why := fmt.Sprintf("%s fails: %s stopped sending to it on what its own callers saw", m.To(), who)
+	return document.NewMoveState(state.Stage(), 0, document.RolledBack, now, why)
 }
 
 // stepLate applies the if-late rule to a move that did not meet its deadline.
@@ -154,7 +154,7 @@
 	}
 	total := o.All.Total(m.To())
 	why := fmt.Sprintf("not enough evidence by the deadline: %d runs of %s, %d failed", total.Runs(), m.To(), total.Failures())
-	return document.NewMoveState(state.Stage(), 0, document.TakenBack, now, why), true
+	return document.NewMoveState(state.Stage(), 0, document.RolledBack, now, why), true
 }
 
 // advanceLate advances a held move, but only on good evidence.
@@ -165,18 +165,18 @@
 	return advance(now, m, state, o)
 }
 
-// Fits reports whether a move can still meet its deadline if every remaining stage
-// has the minimum duration, so that one that cannot is reported early.
-func Fits(now time.Time, m rules.Move, state document.MoveState) bool {
+// CanMeetDeadline reports whether a move can still meet its deadline if every remaining
+// stage has the minimum duration, so that one that cannot is reported early.
+func CanMeetDeadline(now time.Time, m rules.Move, state document.MoveState) bool {
 	remaining := len(stages) - state.Stage()
-	required := time.Duration(remaining) * fractionOf(m.By().Sub(m.Start()), minStageFraction)
-	return !now.Add(required).After(m.By())
+	required := time.Duration(remaining) * fractionOf(m.Deadline().Sub(m.Start()), minStageFraction)
+	return !now.Add(required).After(m.Deadline())
 }
 
-// Chosen reports whether a request belongs to the share of the new version. It
+// InShare reports whether a request belongs to the share of the new version. It
 // depends only on the move, the request's id and the share, so that all entries
 // agree without a shared counter.
-func Chosen(m rules.Move, requestID string, share float64) bool {
+func InShare(m rules.Move, requestID string, share float64) bool {
 	const steps = 1 << 20
 	hash := xxhash.Sum64String(m.Name() + "\x00" + requestID)
 	return float64(hash%steps) < share*steps
--- a/internal/version/rollout/picker.go
+++ b/internal/version/rollout/picker.go
@@ -43,8 +43,8 @@
 	return s, ok
 }
 
-// Entries returns the report on each service's running move.
-func (p *Picker) Entries() map[string]Report {
+// Reports returns the report on each service's running move.
+func (p *Picker) Reports() map[string]Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	reports := make(map[string]Report)
@@ -57,33 +57,33 @@
 }
 
 // Pick implements flow.Picker.
-func (p *Picker) Pick(ctx context.Context, now time.Time, a flow.Ask) (flow.Place, error) {
+func (p *Picker) Pick(ctx context.Context, now time.Time, a flow.PlacementRequest) (flow.Placement, error) {
 	state, moving := p.State(a.Service)
 	if !moving {
 		return p.next.Pick(ctx, now, a)
 	}
-	toTarget := state.Phase == Complete || (state.Phase == Running && state.Chosen(a.Service, a.ID))
+	toTarget := state.Phase == Complete || (state.Phase == Running && state.InTargetShare(a.Service, a.ID))
 	if toTarget {
-		a.Only = state.Target
+		a.RequiredVersion = state.Target
 	} else {
-		a.Not = state.Target
+		a.ExcludedVersion = state.Target
 	}
 	place, err := p.next.Pick(ctx, now, a)
 	if err != nil && state.Phase == Running && toTarget {
 		// The target has no free slot or no upstream; the request must not fail
 		// because of the move, so it goes to the other versions.
-		a.Only, a.Not = "", state.Target
+		a.RequiredVersion, a.ExcludedVersion = "", state.Target
 		place, err = p.next.Pick(ctx, now, a)
 	}
 	if err != nil || state.Phase != Running {
 		return place, err
 	}
-	return &countedPlace{Place: place, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
+	return &countedPlace{Placement: place, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
 }
 
-// countedPlace is a flow.Place whose outcome is counted for a move.
+// countedPlace is a flow.Placement whose outcome is counted for a move.
 type countedPlace struct {
-	flow.Place
+	flow.Placement
 	picker   *Picker
 	service  string
 	route    string
@@ -94,27 +94,29 @@
 	startedAt time.Time
 }
 
-// Load implements flow.Place.
-func (p *countedPlace) Load(now time.Time, load exchange.Load) { p.Place.Load(now, load) }
+// ReportLoad implements flow.Placement.
+func (p *countedPlace) ReportLoad(now time.Time, load exchange.Load) {
+	p.Placement.ReportLoad(now, load)
+}
 
-// Upstream implements flow.Place.
-func (p *countedPlace) Upstream() roster.Upstream { return p.Place.Upstream() }
+// Upstream implements flow.Placement.
+func (p *countedPlace) Upstream() roster.Upstream { return p.Placement.Upstream() }
 
-// Started implements flow.Place.
-func (p *countedPlace) Started(now time.Time) {
+// AnswerStarted implements flow.Placement.
+func (p *countedPlace) AnswerStarted(now time.Time) {
 	p.mu.Lock()
 	if p.startedAt.IsZero() {
 		p.startedAt = now
 	}
 	p.mu.Unlock()
-	p.Place.Started(now)
+	p.Placement.AnswerStarted(now)
 }
 
-// Done implements flow.Place. Requests that callers canceled or that did not run
+// Release implements flow.Placement. Requests that callers canceled or that did not run
 // say nothing about a version; neither do answers that broke off, since crashes and
 // cut connections affect every version.
-func (p *countedPlace) Done(now time.Time, outcome flow.Outcome, tokens int) {
-	p.Place.Done(now, outcome, tokens)
+func (p *countedPlace) Release(now time.Time, outcome flow.Outcome, tokens int) {
+	p.Placement.Release(now, outcome, tokens)
 	failed := outcome == flow.Failed
 	if !failed && outcome != flow.Answered {
 		return
