--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -117,11 +117,11 @@
 }
 
 // ServeHTTP implements http.Handler.
-func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	now := f.Now()
-	c := &call{Handler: f, w: w, request: f.Headers.Read(r), arrivedAt: now, conn: ingress.ConnOf(r.Context())}
-	c.logger = f.Logger.With("id", c.request.ID)
-	since, exitAt, leaving := f.ShutdownStatus()
+func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	now := h.Now()
+	c := &call{Handler: h, w: w, request: h.Headers.Read(r), arrivedAt: now, conn: ingress.ConnOf(r.Context())}
+	c.logger = h.Logger.With("id", c.request.ID)
+	since, exitAt, leaving := h.ShutdownStatus()
 	if leaving {
 		w.Header().Set("Connection", "close")
 		c.shutdown = shutdownWindow{startedAt: since, exitAt: exitAt}
@@ -147,7 +147,7 @@
 		return
 	}
 	c.fingerprint = c.computeFingerprint()
-	if f.Crashes.Blocked(now, c.fingerprint) {
+	if h.Crashes.Blocked(now, c.fingerprint) {
 		c.refuse(http.StatusServiceUnavailable, crashRetryAfter, "the request crashes upstreams")
 		return
 	}
--- a/internal/limit/crash/crash.go
+++ b/internal/limit/crash/crash.go
@@ -49,88 +49,88 @@
 }
 
 // Broke records that an upstream interrupted the answer to a request.
-func (r *Tracker) Broke(now time.Time, upstream string, fingerprint uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.expire(now)
-	if r.interruptedCount >= maxSuspicions {
+func (t *Tracker) Broke(now time.Time, upstream string, fingerprint uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	if t.interruptedCount >= maxSuspicions {
 		return
 	}
-	r.interrupted[upstream] = append(r.interrupted[upstream], suspectedRequest{fingerprint: fingerprint, at: now})
-	r.interruptedCount++
+	t.interrupted[upstream] = append(t.interrupted[upstream], suspectedRequest{fingerprint: fingerprint, at: now})
+	t.interruptedCount++
 }
 
 // Down records that the upstream refuses connections: the requests that it
 // interrupted shortly before were being executed when it crashed.
-func (r *Tracker) Down(now time.Time, upstream string) {
-	r.mu.Lock()
-	suspicions := r.interrupted[upstream]
-	delete(r.interrupted, upstream)
-	r.interruptedCount -= len(suspicions)
+func (t *Tracker) Down(now time.Time, upstream string) {
+	t.mu.Lock()
+	suspicions := t.interrupted[upstream]
+	delete(t.interrupted, upstream)
+	t.interruptedCount -= len(suspicions)
 	var recorded []suspectedRequest
 	for _, s := range suspicions {
 		if now.Sub(s.at) > confirmationWindow {
 			continue
 		}
-		r.record(now, s.fingerprint, upstream)
+		t.record(now, s.fingerprint, upstream)
 		recorded = append(recorded, s)
 	}
-	r.mu.Unlock()
-	if r.onCrash == nil {
+	t.mu.Unlock()
+	if t.onCrash == nil {
 		return
 	}
 	for _, s := range recorded {
-		r.onCrash(s.fingerprint, upstream)
+		t.onCrash(s.fingerprint, upstream)
 	}
 }
 
 // RecordRemote records a crash that another process detected, and reports whether it is
 // new.
-func (r *Tracker) RecordRemote(now time.Time, fingerprint uint64, crash string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if _, known := r.crashes[fingerprint][crash]; known {
+func (t *Tracker) RecordRemote(now time.Time, fingerprint uint64, crash string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if _, known := t.crashes[fingerprint][crash]; known {
 		return false
 	}
-	r.record(now, fingerprint, crash)
+	t.record(now, fingerprint, crash)
 	return true
 }
 
-func (r *Tracker) record(now time.Time, fingerprint uint64, crash string) {
-	if r.crashes[fingerprint] == nil {
-		r.crashes[fingerprint] = make(map[string]time.Time)
+func (t *Tracker) record(now time.Time, fingerprint uint64, crash string) {
+	if t.crashes[fingerprint] == nil {
+		t.crashes[fingerprint] = make(map[string]time.Time)
 	}
-	r.crashes[fingerprint][crash] = now
+	t.crashes[fingerprint][crash] = now
 }
 
 // Blocked reports whether requests with the fingerprint are refused.
-func (r *Tracker) Blocked(now time.Time, fingerprint uint64) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.expire(now)
-	return len(r.crashes[fingerprint]) >= blockAfterCrashes
+func (t *Tracker) Blocked(now time.Time, fingerprint uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.expire(now)
+	return len(t.crashes[fingerprint]) >= blockAfterCrashes
 }
 
 // expire removes expired entries, at most once a second.
-func (r *Tracker) expire(now time.Time) {
-	if now.Sub(r.lastExpiry) < time.Second {
+func (t *Tracker) expire(now time.Time) {
+	if now.Sub(t.lastExpiry) < time.Second {
 		return
 	}
-	r.lastExpiry = now
-	for upstream, suspicions := range r.interrupted {
+	t.lastExpiry = now
+	for upstream, suspicions := range t.interrupted {
 		if last := suspicions[len(suspicions)-1]; now.Sub(last.at) > confirmationWindow {
-			r.interruptedCount -= len(suspicions)
-			delete(r.interrupted, upstream)
+			t.interruptedCount -= len(suspicions)
+			delete(t.interrupted, upstream)
 		}
 	}
-	for fingerprint, crashes := range r.crashes {
+	for fingerprint, crashes := range t.crashes {
 		for upstream, at := range crashes {
 			if now.Sub(at) > retention {
 				delete(crashes, upstream)
 			}
 		}
 		if len(crashes) == 0 {
-			delete(r.crashes, fingerprint)
+			delete(t.crashes, fingerprint)
 		}
 	}
 }
--- a/internal/limit/quota/quota.go
+++ b/internal/limit/quota/quota.go
@@ -121,126 +121,126 @@
 }
 
 // SetOptions changes the deployment's settings for quotas.
-func (k *Limiter) SetOptions(options Options) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.options = options
+func (l *Limiter) SetOptions(options Options) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.options = options
 }
 
 // AddWorkspaces creates buckets for the workspaces that have a quota. If a bucket
 // is created only at the first request of a workspace, it lacks what the other gateways
 // refilled and used before.
-func (k *Limiter) AddWorkspaces(now time.Time, workspaces []catalog.Workspace) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (l *Limiter) AddWorkspaces(now time.Time, workspaces []catalog.Workspace) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for i := range workspaces {
 		if w := &workspaces[i]; w.QuotaPerSecond > 0 {
-			k.bucketAt(now, w)
+			l.bucketAt(now, w)
 		}
 	}
 }
 
-func (k *Limiter) bucketAt(now time.Time, w *catalog.Workspace) *bucket {
-	b := k.buckets[w.Name]
+func (l *Limiter) bucketAt(now time.Time, w *catalog.Workspace) *bucket {
+	b := l.buckets[w.Name]
 	if b == nil {
-		b = &bucket{level: k.initialLevel(w), refilledAt: now, createdAt: now, recentSince: now, charged: k.othersUsed[w.Name]}
-		k.buckets[w.Name] = b
+		b = &bucket{level: l.initialLevel(w), refilledAt: now, createdAt: now, recentSince: now, charged: l.othersUsed[w.Name]}
+		l.buckets[w.Name] = b
 	}
 	b.workspace = w
 	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
-		refilled := w.QuotaPerSecond * elapsed.Seconds() * k.rateFraction(now)
+		refilled := w.QuotaPerSecond * elapsed.Seconds() * l.rateFraction(now)
 		b.level += refilled
 		b.refilled += refilled
 		b.refilledAt = now
 	}
 	b.level = min(b.level, w.QuotaBurst)
-	k.limitIsolated(now, b)
+	l.limitIsolated(now, b)
 	return b
 }
 
 // limitIsolated restricts a gateway that receives no totals to its part of what was
 // left at the last ones. Otherwise gateways that cannot reach each other would each
 // use up all of it, and a workspace would get it once for each of them.
-func (k *Limiter) limitIsolated(now time.Time, b *bucket) {
-	overdue := k.totalsOverdue(now, totalsTimeout)
+func (l *Limiter) limitIsolated(now time.Time, b *bucket) {
+	overdue := l.totalsOverdue(now, totalsTimeout)
 	if overdue && !b.isolated {
-		b.level = min(b.level, b.level/float64(max(1, k.gatewayCount())))
+		b.level = min(b.level, b.level/float64(max(1, l.gatewayCount())))
 	}
 	b.isolated = overdue
 }
 
 // totalsOverdue reports whether the last totals, if there were any, are older than the
 // duration.
-func (k *Limiter) totalsOverdue(now time.Time, after time.Duration) bool {
-	return !k.totalsAt.IsZero() && now.Sub(k.totalsAt) > after
+func (l *Limiter) totalsOverdue(now time.Time, after time.Duration) bool {
+	return !l.totalsAt.IsZero() && now.Sub(l.totalsAt) > after
 }
 
 // initialLevel returns the level of a new bucket: an even part or, shortly after a
 // restart of all gateways, what the others left of the shared level. Later, their
 // usage has long been refilled, and does not tell what is left.
-func (k *Limiter) initialLevel(w *catalog.Workspace) float64 {
-	if k.options.StartFull {
+func (l *Limiter) initialLevel(w *catalog.Workspace) float64 {
+	if l.options.StartFull {
 		return w.QuotaBurst
 	}
-	start := k.options.restartLevel(w)
-	part := start / float64(max(1, k.gatewayCount()))
-	return max(part, start*k.sharedCoverage-k.othersUsed[w.Name])
+	start := l.options.restartLevel(w)
+	part := start / float64(max(1, l.gatewayCount()))
+	return max(part, start*l.sharedCoverage-l.othersUsed[w.Name])
 }
 
 // mergeStartingParts extends the bucket of each workspace to all gateways that the
 // totals cover. After a restart of all, each gateway began with an even part and an
 // even part of the refill; what the others did not use of theirs may be used here.
-func (k *Limiter) mergeStartingParts(now time.Time, t Totals) {
-	for name, b := range k.buckets {
+func (l *Limiter) mergeStartingParts(now time.Time, t Totals) {
+	for name, b := range l.buckets {
 		used := max(0, t.OthersUsed[name]-b.charged)
 		b.level -= used
 		b.charged += used
-		ownPart := k.sharedCoverage
+		ownPart := l.sharedCoverage
 		if ownPart == 0 {
-			ownPart = 1 / float64(max(1, k.gatewayCount()))
+			ownPart = 1 / float64(max(1, l.gatewayCount()))
 		}
-		b.level += k.options.restartLevel(b.workspace) * max(0, t.Coverage-ownPart)
+		b.level += l.options.restartLevel(b.workspace) * max(0, t.Coverage-ownPart)
 		refilled := max(0, b.workspace.QuotaPerSecond*now.Sub(b.createdAt).Seconds()*t.Coverage-b.refilled)
 		b.level += refilled
 		b.refilled += refilled
 	}
-	k.sharedCoverage = max(k.sharedCoverage, t.Coverage)
+	l.sharedCoverage = max(l.sharedCoverage, t.Coverage)
 }
 
 // Settles reports whether the process is new and still waits for the fleet's totals.
 // A request that exceeds this gateway's part should be held for that time instead of
 // refused.
-func (k *Limiter) Settles(now time.Time) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	complete := !k.totalsAt.IsZero() && k.coverage >= startupCoverage
-	return !k.options.StartFull && !complete && now.Sub(k.firstRequest) < startupWait
+func (l *Limiter) Settles(now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	complete := !l.totalsAt.IsZero() && l.coverage >= startupCoverage
+	return !l.options.StartFull && !complete && now.Sub(l.firstRequest) < startupWait
 }
 
 // rateFraction returns the fraction of the fleet's rate by which the buckets are
 // refilled: gateways that the totals do not cover may be using their even part.
-func (k *Limiter) rateFraction(now time.Time) float64 {
-	if now.Sub(k.totalsAt) > totalsTimeout {
-		return 1 / float64(max(1, k.gatewayCount()))
+func (l *Limiter) rateFraction(now time.Time) float64 {
+	if now.Sub(l.totalsAt) > totalsTimeout {
+		return 1 / float64(max(1, l.gatewayCount()))
 	}
-	return k.coverage
+	return l.coverage
 }
 
 // Take takes the cost from the workspace's bucket, or returns when to retry.
-func (k *Limiter) Take(now time.Time, w *catalog.Workspace, cost float64) (bool, time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.firstRequest.IsZero() {
-		k.firstRequest = now
+func (l *Limiter) Take(now time.Time, w *catalog.Workspace, cost float64) (bool, time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.firstRequest.IsZero() {
+		l.firstRequest = now
 	}
-	b := k.bucketAt(now, w)
+	b := l.bucketAt(now, w)
 	// Small and large requests needed the same level, so that small ones do not
 	// starve large ones by taking each token as it is refilled.
-	needed := max(minNeededFraction*w.QuotaBurst, min(cost-k.maxDebt(w), maxNeededFraction*w.QuotaBurst))
+	needed := max(minNeededFraction*w.QuotaBurst, min(cost-l.maxDebt(w), maxNeededFraction*w.QuotaBurst))
 	if now.Sub(b.recentSince) > reportDelay {
 		b.takenRecently, b.recentSince = 0, now
 	}
-	if b.level < needed || !k.withinInterval(now, b, w) {
+	if b.level < needed || !l.withinInterval(now, b, w) {
 		wait := time.Duration((needed - b.level) / w.QuotaPerSecond * float64(time.Second))
 		return false, min(max(wait, minRetryAfter), maxRetryAfter)
 	}
@@ -251,22 +251,22 @@
 }
 
 // maxDebt returns how far below zero a request may take the bucket at this gateway.
-func (k *Limiter) maxDebt(w *catalog.Workspace) float64 {
+func (l *Limiter) maxDebt(w *catalog.Workspace) float64 {
 	if !w.QuotaCountsTokens {
 		return 0
 	}
-	return k.options.Slack / float64(max(1, k.gatewayCount()))
+	return l.options.Slack / float64(max(1, l.gatewayCount()))
 }
 
 // withinInterval limits what one gateway takes between two reports: all gateways
 // together must not take more than the bucket holds before they know each other's
 // usage. A single request is always allowed.
-func (k *Limiter) withinInterval(now time.Time, b *bucket, w *catalog.Workspace) bool {
-	overdue := k.totalsOverdue(now, reportDelay)
+func (l *Limiter) withinInterval(now time.Time, b *bucket, w *catalog.Workspace) bool {
+	overdue := l.totalsOverdue(now, reportDelay)
 	if b.level > w.QuotaBurst/2 && !overdue {
 		return true
 	}
-	gateways := float64(max(1, k.gatewayCount()))
+	gateways := float64(max(1, l.gatewayCount()))
 	// What was taken here since the last reports is already subtracted from the
 	// level.
 	part := (b.level + b.takenRecently) / gateways
@@ -277,10 +277,10 @@
 }
 
 // Return refunds the cost of a request that was not executed.
-func (k *Limiter) Return(w *catalog.Workspace, cost float64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	b := k.buckets[w.Name]
+func (l *Limiter) Return(w *catalog.Workspace, cost float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	b := l.buckets[w.Name]
 	if b == nil {
 		return
 	}
@@ -289,30 +289,30 @@
 }
 
 // Used returns what each workspace has used here since the process started.
-func (k *Limiter) Used() map[string]float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	used := make(map[string]float64, len(k.buckets))
-	for name, b := range k.buckets {
+func (l *Limiter) Used() map[string]float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	used := make(map[string]float64, len(l.buckets))
+	for name, b := range l.buckets {
 		used[name] = b.used
 	}
 	return used
 }
 
 // ApplyTotals applies the totals of a ledger.
-func (k *Limiter) ApplyTotals(now time.Time, t Totals) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (l *Limiter) ApplyTotals(now time.Time, t Totals) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch {
-	case t.AllJustStarted && !k.options.StartFull:
-		k.mergeStartingParts(now, t)
-	case t.LedgerRun == k.ledgerRun:
+	case t.AllJustStarted && !l.options.StartFull:
+		l.mergeStartingParts(now, t)
+	case t.LedgerRun == l.ledgerRun:
 		for workspace, count := range t.OthersUsed {
-			if b := k.buckets[workspace]; b != nil {
-				b.level -= count - k.othersUsed[workspace]
-				b.charged += count - k.othersUsed[workspace]
+			if b := l.buckets[workspace]; b != nil {
+				b.level -= count - l.othersUsed[workspace]
+				b.charged += count - l.othersUsed[workspace]
 			}
 		}
 	}
-	k.ledgerRun, k.othersUsed, k.coverage, k.totalsAt = t.LedgerRun, t.OthersUsed, t.Coverage, now
+	l.ledgerRun, l.othersUsed, l.coverage, l.totalsAt = t.LedgerRun, t.OthersUsed, t.Coverage, now
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -68,52 +68,52 @@
 func NewPrefillCounter() *PrefillCounter { return &PrefillCounter{holders: make(map[uint64]int)} }
 
 // Offered returns the number of tokens of all prompts, cached or not.
-func (l *PrefillCounter) Offered() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.offered
+func (c *PrefillCounter) Offered() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.offered
 }
 
 // Total returns the number of prefill tokens computed.
-func (l *PrefillCounter) Total() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.total
+func (c *PrefillCounter) Total() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.total
 }
 
 // Wasted returns the number of prefill tokens wasted.
-func (l *PrefillCounter) Wasted() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.wasted
+func (c *PrefillCounter) Wasted() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.wasted
 }
 
-func (l *PrefillCounter) recordPrefill(p prompt, prefixTokens int, evicted []uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.offered += p.prefixTokens + p.ownTokens
-	l.total += prefixTokens + p.ownTokens
+func (c *PrefillCounter) recordPrefill(p prompt, prefixTokens int, evicted []uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.offered += p.prefixTokens + p.ownTokens
+	c.total += prefixTokens + p.ownTokens
 	if prefixTokens > 0 {
-		if l.holders[p.prefix] > 0 {
-			l.wasted += prefixTokens
+		if c.holders[p.prefix] > 0 {
+			c.wasted += prefixTokens
 		}
-		l.holders[p.prefix]++
+		c.holders[p.prefix]++
 	}
 	for _, prefix := range evicted {
-		l.holders[prefix]--
+		c.holders[prefix]--
 	}
 }
 
-func (l *PrefillCounter) recordAborted(tokens int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.wasted += tokens
+func (c *PrefillCounter) recordAborted(tokens int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.wasted += tokens
 }
 
-func (l *PrefillCounter) recordEvicted(prefixes []uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *PrefillCounter) recordEvicted(prefixes []uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, prefix := range prefixes {
-		l.holders[prefix]--
+		c.holders[prefix]--
 	}
 }
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -34,18 +34,18 @@
 }
 
 // Effects returns how often the action with the key took effect.
-func (l *EffectCounter) Effects(key string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.effects[key]
+func (c *EffectCounter) Effects(key string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.effects[key]
 }
 
 // Doubled returns the number of actions that took effect more than once.
-func (l *EffectCounter) Doubled() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (c *EffectCounter) Doubled() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	doubled := 0
-	for _, count := range l.effects {
+	for _, count := range c.effects {
 		if count > 1 {
 			doubled++
 		}
@@ -54,23 +54,23 @@
 }
 
 // Calls returns the number of calls by request ID.
-func (l *EffectCounter) Calls() map[string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return maps.Clone(l.calls)
+func (c *EffectCounter) Calls() map[string]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return maps.Clone(c.calls)
 }
 
-func (l *EffectCounter) recordCall(requestID string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.calls[requestID]++
+func (c *EffectCounter) recordCall(requestID string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls[requestID]++
 }
 
-func (l *EffectCounter) recordEffect(key string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.effects[key]++
-	return l.effects[key]
+func (c *EffectCounter) recordEffect(key string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.effects[key]++
+	return c.effects[key]
 }
 
 // Service is one stand-in service.
--- a/internal/upstream/answer/answer.go
+++ b/internal/upstream/answer/answer.go
@@ -37,16 +37,16 @@
 }
 
 // Head returns the head, if it is the next part.
-func (p Chunk) Head() *wire.Head { return p.head }
+func (c Chunk) Head() *wire.Head { return c.head }
 
 // Offset returns the offset of Data in the body.
-func (p Chunk) Offset() uint64 { return p.offset }
+func (c Chunk) Offset() uint64 { return c.offset }
 
 // Data returns body bytes; the caller must not modify them.
-func (p Chunk) Data() []byte { return p.data }
+func (c Chunk) Data() []byte { return c.data }
 
 // End returns the end, if everything before it has been read.
-func (p Chunk) End() *wire.End { return p.end }
+func (c Chunk) End() *wire.End { return c.end }
 
 // Buffer buffers the answer of one run. It is safe for one producer and any number
 // of readers.
--- a/internal/upstream/prefixcache/prefixcache.go
+++ b/internal/upstream/prefixcache/prefixcache.go
@@ -35,36 +35,36 @@
 func New() *Estimate { return &Estimate{order: list.New(), elements: make(map[uint64]*list.Element)} }
 
 // RecordUse records that a prompt with the prefix was dispatched.
-func (g *Estimate) RecordUse(key uint64, tokens int) {
-	if element, ok := g.elements[key]; ok {
-		g.order.MoveToFront(element)
+func (e *Estimate) RecordUse(key uint64, tokens int) {
+	if element, ok := e.elements[key]; ok {
+		e.order.MoveToFront(element)
 		return
 	}
-	g.elements[key] = g.order.PushFront(prefix{key, tokens})
-	g.usedTokens += tokens
-	g.evict()
+	e.elements[key] = e.order.PushFront(prefix{key, tokens})
+	e.usedTokens += tokens
+	e.evict()
 }
 
 // RecordCachedTokens records the number of cached tokens that the engine reported. The
 // maximum is used as the cache size, because a cache that is not full reports
 // less than its size.
-func (g *Estimate) RecordCachedTokens(tokens int) {
-	g.capacityTokens = max(g.capacityTokens, tokens)
-	g.evict()
+func (e *Estimate) RecordCachedTokens(tokens int) {
+	e.capacityTokens = max(e.capacityTokens, tokens)
+	e.evict()
 }
 
 // Reset removes all prefixes after the engine was restarted.
-func (g *Estimate) Reset() {
-	g.order.Init()
-	g.elements = make(map[uint64]*list.Element)
-	g.usedTokens = 0
+func (e *Estimate) Reset() {
+	e.order.Init()
+	e.elements = make(map[uint64]*list.Element)
+	e.usedTokens = 0
 }
 
 // RecentKeys returns the shortened keys of the most recently used prefixes, most recent
 // first.
-func (g *Estimate) RecentKeys() []uint32 {
-	keys := make([]uint32, 0, min(g.order.Len(), maxRecentKeys))
-	for element := g.order.Front(); element != nil && len(keys) < maxRecentKeys; element = element.Next() {
+func (e *Estimate) RecentKeys() []uint32 {
+	keys := make([]uint32, 0, min(e.order.Len(), maxRecentKeys))
+	for element := e.order.Front(); element != nil && len(keys) < maxRecentKeys; element = element.Next() {
 		keys = append(keys, ShortKey(element.Value.(prefix).key))
 	}
 	return keys
@@ -73,16 +73,16 @@
 // ShortKey shortens a key for transmission. A collision only makes the estimate wrong.
 func ShortKey(key uint64) uint32 { return uint32(key>>32) ^ uint32(key) }
 
-func (g *Estimate) evict() {
-	capacity := g.capacityTokens
+func (e *Estimate) evict() {
+	capacity := e.capacityTokens
 	if capacity == 0 {
 		capacity = defaultCapacityTokens
 	}
-	for g.usedTokens > capacity && g.order.Len() > 1 {
-		oldest := g.order.Back()
+	for e.usedTokens > capacity && e.order.Len() > 1 {
+		oldest := e.order.Back()
 		evicted := oldest.Value.(prefix)
-		g.order.Remove(oldest)
-		delete(g.elements, evicted.key)
-		g.usedTokens -= evicted.tokens
+		e.order.Remove(oldest)
+		delete(e.elements, evicted.key)
+		e.usedTokens -= evicted.tokens
 	}
 }
