--- a/internal/edge/flow/flow.go
+++ b/internal/edge/flow/flow.go
@@ -75,7 +75,7 @@
 type Handler struct{ Dependencies }
 
 // New returns a Handler with the given dependencies.
-func New(parts Dependencies) *Handler { return &Handler{Dependencies: parts} }
+func New(deps Dependencies) *Handler { return &Handler{Dependencies: deps} }
 
 // call is the state of one caller's request.
 type call struct {
@@ -166,7 +166,7 @@
 			c.expire(ctx)
 			return
 		}
-		place, err := c.Picker.Pick(ctx, now, c.placementRequest(now, service))
+		placement, err := c.Picker.Pick(ctx, now, c.placementRequest(now, service))
 		c.placementWait = c.Now().Sub(now)
 		if err != nil {
 			c.handleNoPlacement(ctx, err)
@@ -175,13 +175,13 @@
 		if c.attempts == 0 {
 			c.Retries.Sent(now, service)
 		}
-		outcome := c.attempt(ctx, place)
-		place.Release(c.Now(), outcome, c.streamedTokens())
+		outcome := c.attempt(ctx, placement)
+		placement.Release(c.Now(), outcome, c.streamedTokens())
 		c.Metrics.AttemptFinished(service, outcome)
 		if c.concluded(ctx, outcome) {
 			return
 		}
-		c.triedUpstreams = append(c.triedUpstreams, place.Upstream().ID)
+		c.triedUpstreams = append(c.triedUpstreams, placement.Upstream().ID)
 		if outcome != Unreachable && !c.Retries.Take(c.Now(), service) {
 			c.giveUp("retry budget exhausted")
 			return
@@ -253,10 +253,10 @@
 
 // attempt makes one attempt. For any outcome other than Answered, the caller has not
 // been answered yet, unless part of a stream was delivered.
-func (c *call) attempt(ctx context.Context, place Placement) Outcome {
+func (c *call) attempt(ctx context.Context, placement Placement) Outcome {
 	now := c.Now()
 	c.sentAt, c.events, c.longestGap = now, 0, 0
-	upstream := place.Upstream()
+	upstream := placement.Upstream()
 	c.upstream, c.firstEvent = upstream.ID, 0
 	workspace := ""
 	if c.workspace != nil {
@@ -271,11 +271,11 @@
 		Body: c.request.Body, ID: c.request.ID, NonIdempotent: !c.route.Repeatable(),
 	})
 	if err != nil {
-		return c.handleNoAnswer(ctx, place, err)
+		return c.handleNoAnswer(ctx, placement, err)
 	}
 	c.attempts++
 	if answer.Load != nil {
-		place.ReportLoad(c.Now(), *answer.Load)
+		placement.ReportLoad(c.Now(), *answer.Load)
 	}
 	if answer.NotExecuted {
 		c.logger.Info("upstream declined the request", "upstream", upstream.ID, "status", answer.Status)
@@ -288,11 +288,11 @@
 		answer.Close(false)
 		return Interrupted
 	}
-	return c.deliver(ctx, place, answer)
+	return c.deliver(ctx, placement, answer)
 }
 
-func (c *call) handleNoAnswer(ctx context.Context, place Placement, err error) Outcome {
-	upstream := place.Upstream()
+func (c *call) handleNoAnswer(ctx context.Context, placement Placement, err error) Outcome {
+	upstream := placement.Upstream()
 	if errorx.IsOfType(err, exchange.NotSent) {
 		if ctx.Err() != nil {
 			return Canceled
@@ -314,10 +314,10 @@
 
 // deliver passes the answer to the caller. A failure is held back while another
 // attempt is allowed.
-func (c *call) deliver(ctx context.Context, place Placement, answer *exchange.Answer) Outcome {
+func (c *call) deliver(ctx context.Context, placement Placement, answer *exchange.Answer) Outcome {
 	success := answer.Status >= 200 && answer.Status < 300
 	if success && c.route.Kind == catalog.Streaming {
-		return c.deliverStream(ctx, place, answer)
+		return c.deliverStream(ctx, placement, answer)
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswerBytes))
 	if err != nil {
@@ -325,11 +325,11 @@
 		if ctx.Err() != nil {
 			return Canceled
 		}
-		c.logger.Warn("answer truncated", "upstream", place.Upstream().ID, "err", err)
+		c.logger.Warn("answer truncated", "upstream", placement.Upstream().ID, "err", err)
 		return Interrupted
 	}
 	answer.Close(true)
-	place.AnswerStarted(c.Now())
+	placement.AnswerStarted(c.Now())
 	if c.progress.opened {
 		// The response header has already been sent, so a failed resume can only
 		// end in an aborted stream.
@@ -337,7 +337,7 @@
 	}
 	if success {
 		c.writePlain(answer, body)
-		c.finish(outcomeAnswered, "upstream", place.Upstream().ID)
+		c.finish(outcomeAnswered, "upstream", placement.Upstream().ID)
 		return Answered
 	}
 	c.failedAnswer, c.failedBody = answer, body
--- a/internal/edge/flow/stream.go
+++ b/internal/edge/flow/stream.go
@@ -81,7 +81,7 @@
 
 // deliverStream passes events on as they arrive. A stream that resumes one which
 // another upstream broke off continues the same answer.
-func (c *call) deliverStream(ctx context.Context, place Placement, answer *exchange.Answer) Outcome {
+func (c *call) deliverStream(ctx context.Context, placement Placement, answer *exchange.Answer) Outcome {
 	reader := newEventReader(answer)
 	var eventAt time.Time
 	for {
@@ -94,13 +94,13 @@
 		}
 		if err != nil {
 			answer.Close(false)
-			return c.handleBrokenStream(ctx, place, err)
+			return c.handleBrokenStream(ctx, placement, err)
 		}
 		c.events++
 		now := c.Now()
 		if c.events == 1 {
 			c.firstEvent = now.Sub(c.sentAt)
-			place.AnswerStarted(now)
+			placement.AnswerStarted(now)
 		} else {
 			c.longestGap = max(c.longestGap, now.Sub(eventAt))
 		}
@@ -159,11 +159,11 @@
 	c.progress.answered = true
 }
 
-func (c *call) handleBrokenStream(ctx context.Context, place Placement, err error) Outcome {
+func (c *call) handleBrokenStream(ctx context.Context, placement Placement, err error) Outcome {
 	if ctx.Err() != nil {
 		return Canceled
 	}
-	c.Crashes.Broke(c.Now(), place.Upstream().ID, c.fingerprint)
-	c.logger.Warn("stream broke off", "upstream", place.Upstream().ID, "after", c.progress.lastEventID, "err", err)
+	c.Crashes.Broke(c.Now(), placement.Upstream().ID, c.fingerprint)
+	c.logger.Warn("stream broke off", "upstream", placement.Upstream().ID, "after", c.progress.lastEventID, "err", err)
 	return Interrupted
 }
--- a/internal/edge/ingress/ingress.go
+++ b/internal/edge/ingress/ingress.go
@@ -87,12 +87,12 @@
 }
 
 // New returns a server with the given dependencies. Serve starts it.
-func New(parts Dependencies) *Server {
-	s := &Server{Dependencies: parts, conns: make(map[*Conn]struct{})}
+func New(deps Dependencies) *Server {
+	s := &Server{Dependencies: deps, conns: make(map[*Conn]struct{})}
 	s.httpServer = &http.Server{
-		Handler: s.trackRequest(parts.Handler), MaxHeaderBytes: maxHeaderBytes,
+		Handler: s.trackRequest(deps.Handler), MaxHeaderBytes: maxHeaderBytes,
 		ConnState: s.trackState, ConnContext: withConn, DisableGeneralOptionsHandler: true,
-		ErrorLog: slog.NewLogLogger(parts.Logger.Handler(), slog.LevelWarn),
+		ErrorLog: slog.NewLogLogger(deps.Logger.Handler(), slog.LevelWarn),
 	}
 	return s
 }
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -177,26 +177,26 @@
 }
 
 // New returns a gateway that has not been started.
-func New(parts Dependencies) *Gateway {
-	s, now, logger := parts.Settings, parts.Now, parts.Logger
+func New(deps Dependencies) *Gateway {
+	s, now, logger := deps.Settings, deps.Now, deps.Logger
 	g := &Gateway{
-		settings: s, decoder: parts.Decoder, listen: parts.Listen, logger: logger, now: now,
+		settings: s, decoder: deps.Decoder, listen: deps.Listen, logger: logger, now: now,
 		// The start time distinguishes successive processes on one VM.
 		runID: uint64(now().UnixNano()), startedAt: now(),
 		roster: roster.New(), ledger: quota.NewLedger(), metrics: newMetrics(),
-		pool: exchange.NewPool(parts.Dialer.DialContext),
+		pool: exchange.NewPool(deps.Dialer.DialContext),
 	}
 	g.grace.Store(int64(s.GracePeriod))
-	g.store = meter.New(parts.Store, g.metrics.StoreCall)
-	g.omittedLogLines = parts.OmittedLogLines
+	g.store = meter.New(deps.Store, g.metrics.StoreCall)
+	g.omittedLogLines = deps.OmittedLogLines
 	g.retryBudget = retry.New(s.Retry, func() int { return g.peers.gatewayCount() })
 	g.upstreams = newUpstreamView(g)
 	g.peers = &peers{Gateway: g, rank: unranked, storeReachedAt: make(map[string]time.Time)}
 	g.quota = quota.New(s.Quota, g.peers.gatewayCount)
 	g.crashRegister = crash.New(g.peers.recordCrash)
-	g.mesh = mesh.New(s.Name, s.LinkAddress, g.runID, parts.Dialer, g.peers, logger, now)
+	g.mesh = mesh.New(s.Name, s.LinkAddress, g.runID, deps.Dialer, g.peers, logger, now)
 	g.peers.isHub = g.mesh.IsHub
-	g.granter = granter.New(now, g.peers.deliverVerdict, logger)
+	g.granter = granter.New(now, g.peers.deliverDecision, logger)
 	g.permits = permit.New(permit.Dependencies{
 		Node: s.Name, Domain: s.Domain, Scheduler: g.peers.scheduler, Send: g.mesh.Send,
 		DeliverLocally: func(now time.Time, e *wire.Envelope) { permit.HandleMessage(now, g.granter, s.Name, e) },
@@ -209,7 +209,7 @@
 	g.follower = g.newFollower()
 	g.metrics.registerGauges(g)
 	requests := flow.New(flow.Dependencies{
-		Headers: parts.Translator, Client: exchange.NewClient(g.pool, parts.AnswerHeaders, now), Catalog: g.catalog.Load,
+		Headers: deps.Translator, Client: exchange.NewClient(g.pool, deps.AnswerHeaders, now), Catalog: g.catalog.Load,
 		Picker: g.versionPicker, Quota: g.quota, Retries: g.retryBudget, Crashes: g.crashRegister,
 		Metrics: g.metrics, Logger: logger, Now: now, ShutdownStatus: g.stopTimes,
 		OthersAccept: func() bool { return g.peers.otherAcceptsRequests(now()) },
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -336,14 +336,14 @@
 	return cmp.Or(cmp.Compare(c.rank, other.rank), cmp.Compare(c.node, other.node))
 }
 
-// deliverVerdict sends a scheduling decision to the gateway that requested the slot.
-func (p *peers) deliverVerdict(verdict board.Decision) {
-	message := permit.DecisionMessage(verdict)
-	if verdict.Owner == p.settings.Name {
+// deliverDecision sends a scheduling decision to the gateway that requested the slot.
+func (p *peers) deliverDecision(decision board.Decision) {
+	message := permit.DecisionMessage(decision)
+	if decision.Owner == p.settings.Name {
 		p.permits.HandleDecision(message.GetPlaceVerdict())
 		return
 	}
-	p.mesh.Send(verdict.Owner, message)
+	p.mesh.Send(decision.Owner, message)
 }
 
 // recordCrash adds a crash that this gateway observed or relays to its gossip.
--- a/internal/role/gateway/views_internal_test.go
+++ b/internal/role/gateway/views_internal_test.go
@@ -47,7 +47,7 @@
 func TestGranterGetsLatestEngineList(t *testing.T) {
 	g := New(Dependencies{Settings: Settings{Name: "me"}, Dialer: &net.Dialer{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now})
 	granted := false
-	g.granter = granter.New(time.Now, func(v board.Decision) { granted = granted || v.Upstream != "" }, g.logger)
+	g.granter = granter.New(time.Now, func(d board.Decision) { granted = granted || d.Upstream != "" }, g.logger)
 	g.catalog.Store(catalog.New(catalog.Content{Version: 1, Services: []catalog.Service{{Name: "tutor", Engine: &catalog.Engine{Slots: 1}}}}))
 	change := func(state roster.State, revision int64) {
 		g.roster.Put(roster.Upstream{ID: "engine", Service: "tutor", Slots: 1, State: state, Revision: revision})
--- a/internal/sched/board/board.go
+++ b/internal/sched/board/board.go
@@ -181,9 +181,9 @@
 }
 
 // decide queues the decision on a request for delivery to its owner.
-func (s *Scheduler) decide(req *SlotRequest, v Decision) {
-	v.Owner, v.ID, v.Number = req.Owner, req.ID, req.Number
-	s.decisions = append(s.decisions, v)
+func (s *Scheduler) decide(req *SlotRequest, d Decision) {
+	d.Owner, d.ID, d.Number = req.Owner, req.ID, req.Number
+	s.decisions = append(s.decisions, d)
 }
 
 func (s *Scheduler) slots(service string) int {
--- a/internal/sched/granter/granter_test.go
+++ b/internal/sched/granter/granter_test.go
@@ -23,10 +23,10 @@
 
 func newRecorder() *recorder {
 	r := &recorder{}
-	r.Granter = granter.New(time.Now, func(v board.Decision) {
+	r.Granter = granter.New(time.Now, func(d board.Decision) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.decisions = append(r.decisions, v)
+		r.decisions = append(r.decisions, d)
 	}, slog.New(slog.DiscardHandler))
 	r.SetUpstreams([]board.Upstream{{ID: "engine", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
 	return r
--- a/internal/sched/local/absent_test.go
+++ b/internal/sched/local/absent_test.go
@@ -47,9 +47,9 @@
 					return chooser.Pick(ctx, now, flow.PlacementRequest{ID: "one", Service: "bookings", Deadline: now.Add(c.deadline)})
 				}
 				for time.Now().Before(goneAt) {
-					place, err := pick()
+					placement, err := pick()
 					require.NoError(t, err)
-					place.Release(time.Now(), flow.Answered, 0)
+					placement.Release(time.Now(), flow.Answered, 0)
 					<-time.After(10 * time.Millisecond)
 				}
 				<-time.After(c.later)
--- a/internal/sched/local/local.go
+++ b/internal/sched/local/local.go
@@ -113,7 +113,7 @@
 		return nil, flow.RefusePlacement(fullRetryAfter, "all upstreams of the service are full")
 	}
 	state.running++
-	return &place{chooser: c, upstream: best}, nil
+	return &placement{chooser: c, upstream: best}, nil
 }
 
 // waitDeadline returns until when a request waits for an upstream of a service that has
@@ -141,7 +141,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(u.ID).running++
-	return &place{chooser: c, upstream: u}
+	return &placement{chooser: c, upstream: u}
 }
 
 // full reports whether this process has as many requests at the upstream as it may have:
@@ -193,17 +193,17 @@
 	return running / float64(u.Slots)
 }
 
-// place is the placement of one request on an upstream.
-type place struct {
+// placement is the placement of one request on an upstream.
+type placement struct {
 	chooser  *Chooser
 	upstream roster.Upstream
 }
 
 // Upstream implements flow.Placement.
-func (p *place) Upstream() roster.Upstream { return p.upstream }
+func (p *placement) Upstream() roster.Upstream { return p.upstream }
 
 // ReportLoad implements flow.Placement.
-func (p *place) ReportLoad(now time.Time, load exchange.Load) {
+func (p *placement) ReportLoad(now time.Time, load exchange.Load) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
 	state := p.chooser.state(p.upstream.ID)
@@ -211,10 +211,10 @@
 }
 
 // AnswerStarted implements flow.Placement.
-func (p *place) AnswerStarted(time.Time) {}
+func (p *placement) AnswerStarted(time.Time) {}
 
 // Release implements flow.Placement.
-func (p *place) Release(now time.Time, o flow.Outcome, _ int) {
+func (p *placement) Release(now time.Time, o flow.Outcome, _ int) {
 	p.chooser.mu.Lock()
 	defer p.chooser.mu.Unlock()
 	state := p.chooser.state(p.upstream.ID)
--- a/internal/sched/permit/moments_test.go
+++ b/internal/sched/permit/moments_test.go
@@ -65,14 +65,14 @@
 	toGateway := &link{random: rand.New(rand.NewPCG(seed, 1)), ordered: ordered}
 	var client *permit.Client
 	var otherGrants atomic.Int64
-	scheduler := granter.New(time.Now, func(v board.Decision) {
-		if v.Owner != "gateway" {
-			if v.Upstream != "" {
+	scheduler := granter.New(time.Now, func(d board.Decision) {
+		if d.Owner != "gateway" {
+			if d.Upstream != "" {
 				otherGrants.Add(1)
 			}
 			return
 		}
-		time.AfterFunc(toGateway.delay(time.Now()), func() { client.HandleDecision(permit.DecisionMessage(v).GetPlaceVerdict()) })
+		time.AfterFunc(toGateway.delay(time.Now()), func() { client.HandleDecision(permit.DecisionMessage(d).GetPlaceVerdict()) })
 	}, slog.New(slog.DiscardHandler))
 	scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
 	client = permit.New(permit.Dependencies{
@@ -89,7 +89,7 @@
 	})
 	for i := range 3 {
 		now := time.Now()
-		place, err := client.Pick(t.Context(), now, flow.PlacementRequest{
+		placement, err := client.Pick(t.Context(), now, flow.PlacementRequest{
 			ID: fmt.Sprintf("request-%d", i), Service: "tutor", Route: &catalog.Route{}, NextEventDue: now.Add(600 * time.Millisecond),
 			Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
@@ -103,7 +103,7 @@
 		})
 		require.Zero(t, otherGrants.Load(), "seed %d, request %d: the engine has one slot, and it is in use", seed, i)
 		scheduler.Release("other", fmt.Sprintf("other-%d", i), board.SlotResult{Outcome: board.Canceled})
-		place.Release(time.Now(), flow.Answered, 0)
+		placement.Release(time.Now(), flow.Answered, 0)
 		bubble.Sleep(time.Second)
 	}
 }
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -106,7 +106,7 @@
 
 	mu            sync.Mutex
 	pending       map[string]*pendingRequest
-	places        map[*place]struct{}
+	placements    map[*placement]struct{}
 	lastScheduler string
 	// lastNumber is the last number given to a slot request or to a locally chosen slot. A
 	// request may have several in succession.
@@ -114,8 +114,8 @@
 }
 
 // New returns a client with the given dependencies.
-func New(parts Dependencies) *Client {
-	return &Client{Dependencies: parts, pending: make(map[string]*pendingRequest), places: make(map[*place]struct{})}
+func New(deps Dependencies) *Client {
+	return &Client{Dependencies: deps, pending: make(map[string]*pendingRequest), placements: make(map[*placement]struct{})}
 }
 
 // Pick implements flow.Picker.
@@ -309,7 +309,7 @@
 	}
 	held := &wire.PlacesHeld{}
 	c.mu.Lock()
-	for p := range c.places {
+	for p := range c.placements {
 		held.Places = append(held.Places, p.heldMessage())
 	}
 	c.mu.Unlock()
@@ -320,15 +320,15 @@
 const ReportInterval = time.Second
 
 func (c *Client) hold(local flow.Placement, req flow.PlacementRequest, number uint64) flow.Placement {
-	p := &place{client: c, local: local, upstream: local.Upstream(), request: req, number: number}
+	p := &placement{client: c, local: local, upstream: local.Upstream(), request: req, number: number}
 	c.mu.Lock()
-	c.places[p] = struct{}{}
+	c.placements[p] = struct{}{}
 	c.mu.Unlock()
 	return p
 }
 
-// place is a slot on an engine.
-type place struct {
+// placement is a slot on an engine.
+type placement struct {
 	client   *Client
 	local    flow.Placement
 	upstream roster.Upstream
@@ -341,10 +341,10 @@
 }
 
 // Upstream implements flow.Placement.
-func (p *place) Upstream() roster.Upstream { return p.upstream }
+func (p *placement) Upstream() roster.Upstream { return p.upstream }
 
 // ReportLoad implements flow.Placement.
-func (p *place) ReportLoad(now time.Time, load exchange.Load) {
+func (p *placement) ReportLoad(now time.Time, load exchange.Load) {
 	p.local.ReportLoad(now, load)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -352,7 +352,7 @@
 }
 
 // AnswerStarted implements flow.Placement.
-func (p *place) AnswerStarted(now time.Time) {
+func (p *placement) AnswerStarted(now time.Time) {
 	message := &wire.PlaceStarted{Id: p.request.ID}
 	p.mu.Lock()
 	p.startedAt = now
@@ -365,10 +365,10 @@
 }
 
 // Release implements flow.Placement.
-func (p *place) Release(now time.Time, o flow.Outcome, tokens int) {
+func (p *placement) Release(now time.Time, o flow.Outcome, tokens int) {
 	p.local.Release(now, o, tokens)
 	p.client.mu.Lock()
-	delete(p.client.places, p)
+	delete(p.client.placements, p)
 	p.client.mu.Unlock()
 	p.mu.Lock()
 	stream := time.Duration(0)
@@ -379,7 +379,7 @@
 	p.client.notify(endedMessage(p.request.ID, p.number, board.SlotResult{Outcome: boardOutcome(o), StreamTime: stream, Tokens: tokens}))
 }
 
-func (p *place) heldMessage() *wire.PlaceHeld {
+func (p *placement) heldMessage() *wire.PlaceHeld {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &wire.PlaceHeld{
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -25,17 +25,17 @@
 type fixedPicker struct{}
 
 func (fixedPicker) Pick(context.Context, time.Time, flow.PlacementRequest) (flow.Placement, error) {
-	return fixedPlace{}, nil
+	return fixedPlacement{}, nil
 }
-func (fixedPicker) Hold(roster.Upstream) flow.Placement { return fixedPlace{} }
+func (fixedPicker) Hold(roster.Upstream) flow.Placement { return fixedPlacement{} }
 
-// fixedPlace is a slot on the engine.
-type fixedPlace struct{}
+// fixedPlacement is a slot on the engine.
+type fixedPlacement struct{}
 
-func (fixedPlace) Upstream() roster.Upstream            { return engine }
-func (fixedPlace) ReportLoad(time.Time, exchange.Load)  {}
-func (fixedPlace) AnswerStarted(time.Time)              {}
-func (fixedPlace) Release(time.Time, flow.Outcome, int) {}
+func (fixedPlacement) Upstream() roster.Upstream            { return engine }
+func (fixedPlacement) ReportLoad(time.Time, exchange.Load)  {}
+func (fixedPlacement) AnswerStarted(time.Time)              {}
+func (fixedPlacement) Release(time.Time, flow.Outcome, int) {}
 
 // noMetrics discards all metrics.
 type noMetrics struct{}
@@ -50,12 +50,12 @@
 		const latency = 60 * time.Millisecond
 		var client *permit.Client
 		granted := make(map[string]int)
-		scheduler := granter.New(time.Now, func(v board.Decision) {
-			if v.Upstream != "" {
-				granted[v.Owner]++
+		scheduler := granter.New(time.Now, func(d board.Decision) {
+			if d.Upstream != "" {
+				granted[d.Owner]++
 			}
-			if v.Owner == "gateway" {
-				time.AfterFunc(latency, func() { client.HandleDecision(permit.DecisionMessage(v).GetPlaceVerdict()) })
+			if d.Owner == "gateway" {
+				time.AfterFunc(latency, func() { client.HandleDecision(permit.DecisionMessage(d).GetPlaceVerdict()) })
 			}
 		}, slog.New(slog.DiscardHandler))
 		scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
@@ -72,7 +72,7 @@
 			Metrics: noMetrics{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 		})
 		now := time.Now()
-		place, err := client.Pick(t.Context(), now, flow.PlacementRequest{
+		placement, err := client.Pick(t.Context(), now, flow.PlacementRequest{
 			ID: "one", Service: "tutor", Route: &catalog.Route{}, NextEventDue: now.Add(600 * time.Millisecond),
 			Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100,
 		})
@@ -87,7 +87,7 @@
 		})
 		require.Equal(t, 1, granted["gateway"])
 		require.Zero(t, granted["other"], "the engine has one slot, and it is in use")
-		place.Release(later, flow.Answered, 0)
+		placement.Release(later, flow.Answered, 0)
 		bubble.Sleep(2 * latency)
 	})
 }
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -80,8 +80,8 @@
 }
 
 // DecisionMessage returns the message that carries a decision to the gateway that asked.
-func DecisionMessage(v board.Decision) *wire.Envelope {
+func DecisionMessage(d board.Decision) *wire.Envelope {
 	return &wire.Envelope{Body: &wire.Envelope_PlaceVerdict{PlaceVerdict: &wire.PlaceVerdict{
-		Id: v.ID, Number: v.Number, Upstream: v.Upstream, RetryAfterMs: uint32(v.RetryAfter.Milliseconds()), Why: v.Reason, Waiting: v.Waiting,
+		Id: d.ID, Number: d.Number, Upstream: d.Upstream, RetryAfterMs: uint32(d.RetryAfter.Milliseconds()), Why: d.Reason, Waiting: d.Waiting,
 	}}}
 }
--- a/internal/version/rollout/picker.go
+++ b/internal/version/rollout/picker.go
@@ -68,21 +68,21 @@
 	} else {
 		a.ExcludedVersion = state.Target
 	}
-	place, err := p.next.Pick(ctx, now, a)
+	placement, err := p.next.Pick(ctx, now, a)
 	if err != nil && state.Phase == Running && toTarget {
 		// The target has no free slot or no upstream; the request must not fail
 		// because of the move, so it goes to the other versions.
 		a.RequiredVersion, a.ExcludedVersion = "", state.Target
-		place, err = p.next.Pick(ctx, now, a)
+		placement, err = p.next.Pick(ctx, now, a)
 	}
 	if err != nil || state.Phase != Running {
-		return place, err
+		return placement, err
 	}
-	return &countedPlace{Placement: place, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
+	return &countedPlacement{Placement: placement, picker: p, service: a.Service, route: a.Route.Name, state: state, pickedAt: now}, nil
 }
 
-// countedPlace is a flow.Placement whose outcome is counted for a move.
-type countedPlace struct {
+// countedPlacement is a flow.Placement whose outcome is counted for a move.
+type countedPlacement struct {
 	flow.Placement
 	picker   *Picker
 	service  string
@@ -95,15 +95,15 @@
 }
 
 // ReportLoad implements flow.Placement.
-func (p *countedPlace) ReportLoad(now time.Time, load exchange.Load) {
+func (p *countedPlacement) ReportLoad(now time.Time, load exchange.Load) {
 	p.Placement.ReportLoad(now, load)
 }
 
 // Upstream implements flow.Placement.
-func (p *countedPlace) Upstream() roster.Upstream { return p.Placement.Upstream() }
+func (p *countedPlacement) Upstream() roster.Upstream { return p.Placement.Upstream() }
 
 // AnswerStarted implements flow.Placement.
-func (p *countedPlace) AnswerStarted(now time.Time) {
+func (p *countedPlacement) AnswerStarted(now time.Time) {
 	p.mu.Lock()
 	if p.startedAt.IsZero() {
 		p.startedAt = now
@@ -115,7 +115,7 @@
 // Release implements flow.Placement. Requests that callers canceled or that did not run
 // say nothing about a version; neither do answers that broke off, since crashes and
 // cut connections affect every version.
-func (p *countedPlace) Release(now time.Time, outcome flow.Outcome, tokens int) {
+func (p *countedPlacement) Release(now time.Time, outcome flow.Outcome, tokens int) {
 	p.Placement.Release(now, outcome, tokens)
 	failed := outcome == flow.Failed
 	if !failed && outcome != flow.Answered {
