--- a/cmd/persimmonridge/gateway.go
+++ b/cmd/persimmonridge/gateway.go
@@ -57,7 +57,7 @@
 	debug.SetMemoryLimit(int64(float64(node.MemoryBytes) * memoryLimitShare))
 	g := gateway.New(gateway.Dependencies{
 		Settings: gatewaySettings(node), Store: platform.NewStore(node.Store, dial.Dialer{}.DialContext),
-		Decoder: platform.Decoder{}, Translator: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(),
+		Decoder: platform.Decoder{}, Headers: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(),
 		Dialer: dial.Dialer{}, Listen: net.Listen, Logger: logger, OmittedLogLines: handler.Omitted, Now: time.Now,
 	})
 	watchCtx, stop := context.WithCancel(ctx)
--- a/internal/edge/flow/flow_test.go
+++ b/internal/edge/flow/flow_test.go
@@ -310,10 +310,10 @@
 	require.Contains(t, f.executed[1], "two after 1 ")
 }
 
-// Guards against resumable streams that are aborted with "no place in time". After
-// sixteen engines had crashed in a burst, the first events of their streams had
-// been due seconds before, and the scheduler took them for requests that are late
-// anyway.
+// Guards against resumable streams that are aborted with "no slot became free in
+// time". After sixteen engines had crashed in a burst, the first events of their
+// streams had been due seconds before, and the scheduler took them for requests
+// that are late anyway.
 func TestResumedStreamGetsANewDueTime(t *testing.T) {
 	f := newFixture(t)
 	f.content.Routes[2].LatencyTarget = 10 * time.Millisecond
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -146,7 +146,7 @@
 	}
 	g := gateway.New(gateway.Dependencies{
 		Settings: settings, Store: platform.NewStore(storeAddress(i), f.network.DialContext), Decoder: platform.Decoder{},
-		Translator: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(), Dialer: f.network,
+		Headers: platform.Headers{}, AnswerHeaders: platform.AnswerHeaders(), Dialer: f.network,
 		Listen: func(_, address string) (net.Listener, error) { return f.network.Listen(address) },
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -100,7 +100,7 @@
 	Settings      Settings
 	Store         kv.Store
 	Decoder       Decoder
-	Translator    flow.HeaderCodec
+	Headers       flow.HeaderCodec
 	AnswerHeaders exchange.HeaderNames
 	Dialer        Dialer
 	// Listen opens a listener.
@@ -138,7 +138,7 @@
 	pool              *exchange.Pool
 	quota             *quota.Limiter
 	ledger            *quota.Ledger
-	crashRegister     *crash.Tracker
+	crashTracker      *crash.Tracker
 	peers             *peers
 	mesh              *mesh.Mesh
 	granter           *granter.Granter
@@ -193,7 +193,7 @@
 	g.upstreams = newUpstreamView(g)
 	g.peers = &peers{Gateway: g, rank: unranked, storeReachedAt: make(map[string]time.Time)}
 	g.quota = quota.New(s.Quota, g.peers.gatewayCount)
-	g.crashRegister = crash.New(g.peers.recordCrash)
+	g.crashTracker = crash.New(g.peers.recordCrash)
 	g.mesh = mesh.New(s.Name, s.LinkAddress, g.runID, deps.Dialer, g.peers, logger, now)
 	g.peers.isHub = g.mesh.IsHub
 	g.granter = granter.New(now, g.peers.deliverDecision, logger)
@@ -209,8 +209,8 @@
 	g.follower = g.newFollower()
 	g.metrics.registerGauges(g)
 	requests := flow.New(flow.Dependencies{
-		Headers: deps.Translator, Client: exchange.NewClient(g.pool, deps.AnswerHeaders, now), Catalog: g.catalog.Load,
-		Picker: g.versionPicker, Quota: g.quota, Retries: g.retryBudget, Crashes: g.crashRegister,
+		Headers: deps.Headers, Client: exchange.NewClient(g.pool, deps.AnswerHeaders, now), Catalog: g.catalog.Load,
+		Picker: g.versionPicker, Quota: g.quota, Retries: g.retryBudget, Crashes: g.crashTracker,
 		Metrics: g.metrics, Logger: logger, Now: now, ShutdownStatus: g.stopTimes,
 		OthersAccept: func() bool { return g.peers.otherAcceptsRequests(now()) },
 	})
--- a/internal/role/gateway/peers.go
+++ b/internal/role/gateway/peers.go
@@ -209,7 +209,7 @@
 func (p *peers) HandleGossip(now time.Time, peer string, g *wire.Gossip) {
 	p.granter.OwnerUp(peer)
 	for _, c := range g.Crashes {
-		if p.crashRegister.RecordRemote(now, c.Fingerprint, c.Upstream) && p.isHub() {
+		if p.crashTracker.RecordRemote(now, c.Fingerprint, c.Upstream) && p.isHub() {
 			p.recordCrash(c.Fingerprint, c.Upstream)
 		}
 	}
--- a/internal/role/gateway/peers_internal_test.go
+++ b/internal/role/gateway/peers_internal_test.go
@@ -112,13 +112,13 @@
 		a.peers.HandleGossip(now, "peer", &wire.Gossip{Crashes: []*wire.CrashSeen{{Fingerprint: fingerprint, Upstream: strconv.Itoa(i)}}})
 	}
 	sendGossip(a, b)
-	require.True(t, b.crashRegister.Blocked(now, fingerprint))
+	require.True(t, b.crashTracker.Blocked(now, fingerprint))
 	for end := now.Add(3 * remembered); now.Before(end); now = now.Add(time.Second) {
 		sendGossip(a, b)
 		sendGossip(b, a)
-		a.crashRegister.Blocked(now, fingerprint)
-		b.crashRegister.Blocked(now, fingerprint)
+		a.crashTracker.Blocked(now, fingerprint)
+		b.crashTracker.Blocked(now, fingerprint)
 	}
-	require.False(t, a.crashRegister.Blocked(now, fingerprint))
-	require.False(t, b.crashRegister.Blocked(now, fingerprint))
+	require.False(t, a.crashTracker.Blocked(now, fingerprint))
+	require.False(t, b.crashTracker.Blocked(now, fingerprint))
 }
--- a/internal/role/gateway/speeds.go
+++ b/internal/role/gateway/speeds.go
@@ -73,7 +73,7 @@
 	speeds := make([]board.Speed, 0, len(entries))
 	for _, e := range entries {
 		stored[e.ID] = e
-		speeds = append(speeds, board.Speed{ID: e.ID, Born: e.Born, Slowness: e.Slowness})
+		speeds = append(speeds, board.Speed{ID: e.ID, StartedAtMs: e.Born, Slowness: e.Slowness})
 	}
 	s.mu.Lock()
 	known := item.Revision <= s.revision
@@ -113,7 +113,7 @@
 	}
 	entries := make([]engineSpeed, 0, len(learned))
 	for _, l := range learned {
-		entries = append(entries, engineSpeed{ID: l.ID, Born: l.Born, Slowness: math.Round(100*l.Slowness) / 100})
+		entries = append(entries, engineSpeed{ID: l.ID, Born: l.StartedAtMs, Slowness: math.Round(100*l.Slowness) / 100})
 	}
 	value, err := json.Marshal(entries)
 	if err != nil {
@@ -134,7 +134,7 @@
 func speedsChanged(stored map[string]engineSpeed, learned []board.Speed) bool {
 	for _, l := range learned {
 		s, ok := stored[l.ID]
-		if !ok || s.Born != l.Born || s.Slowness <= 0 {
+		if !ok || s.Born != l.StartedAtMs || s.Slowness <= 0 {
 			return true
 		}
 		if ratio := l.Slowness / s.Slowness; ratio > minSpeedChangeRatio || ratio < 1/minSpeedChangeRatio {
--- a/internal/role/gateway/standby.go
+++ b/internal/role/gateway/standby.go
@@ -48,7 +48,7 @@
 	if len(standbys) == 0 {
 		return
 	}
-	message := memoryMessage(s.nextBatch(s.granter.LearnedState()))
+	message := learnedStateMessage(s.nextBatch(s.granter.LearnedState()))
 	for _, node := range standbys {
 		s.mesh.Send(node, message)
 	}
@@ -77,10 +77,10 @@
 	return nodes
 }
 
-func memoryMessage(m board.LearnedState) *wire.Envelope {
+func learnedStateMessage(m board.LearnedState) *wire.Envelope {
 	message := &wire.SchedulerMemory{}
 	for _, s := range m.Speeds {
-		message.Speeds = append(message.Speeds, &wire.EngineSpeed{Id: s.ID, Born: s.Born, Slowness: float32(s.Slowness)})
+		message.Speeds = append(message.Speeds, &wire.EngineSpeed{Id: s.ID, Born: s.StartedAtMs, Slowness: float32(s.Slowness)})
 	}
 	for _, s := range m.Services {
 		message.Services = append(message.Services, &wire.ServiceMemory{
@@ -98,7 +98,7 @@
 	}
 	var m board.LearnedState
 	for _, s := range message.Speeds {
-		m.Speeds = append(m.Speeds, board.Speed{ID: s.Id, Born: s.Born, Slowness: float64(s.Slowness)})
+		m.Speeds = append(m.Speeds, board.Speed{ID: s.Id, StartedAtMs: s.Born, Slowness: float64(s.Slowness)})
 	}
 	for _, s := range message.Services {
 		m.Services = append(m.Services, board.LearnedService{
--- a/internal/role/gateway/views.go
+++ b/internal/role/gateway/views.go
@@ -89,8 +89,8 @@
 			continue
 		}
 		engines = append(engines, board.Upstream{
-			ID: u.ID, Service: u.Service, Domain: u.Domain, Version: u.Version, Slots: u.Slots, Born: u.StartedAtMs,
-			EventTokens: service.Engine.TokensPerEvent,
+			ID: u.ID, Service: u.Service, Domain: u.Domain, Version: u.Version, Slots: u.Slots, StartedAtMs: u.StartedAtMs,
+			TokensPerEvent: service.Engine.TokensPerEvent,
 		})
 	}
 	g.granter.SetUpstreams(engines)
--- a/internal/sched/board/ask.go
+++ b/internal/sched/board/ask.go
@@ -22,9 +22,9 @@
 	// OutputTokens is the estimated number of tokens to generate.
 	OutputTokens int
 	// EndConstraint tells whether the stream is cut off at Deadline.
-	EndConstraint EndConstraint
-	MaxGap        time.Duration
-	Exclude       []string
+	EndConstraint     EndConstraint
+	EventGapTarget    time.Duration
+	ExcludedUpstreams []string
 	// Required and excluded version of the engine. An empty string does not restrict it.
 	RequiredVersion, ExcludedVersion string
 	// Resent is set if the request was sent to an engine before. Such requests go first.
@@ -86,7 +86,7 @@
 	if (req.RequiredVersion != "" && req.RequiredVersion != e.Version) || (req.ExcludedVersion != "" && req.ExcludedVersion == e.Version) {
 		return false
 	}
-	return !slices.Contains(req.Exclude, e.ID)
+	return !slices.Contains(req.ExcludedUpstreams, e.ID)
 }
 
 // enqueue inserts the request in the order in which waiting requests are served: first
--- a/internal/sched/board/board.go
+++ b/internal/sched/board/board.go
@@ -12,14 +12,14 @@
 
 // Upstream is an engine that may be assigned requests.
 type Upstream struct {
-	ID      string
-	Service string
-	Domain  string
-	Version string
-	Slots   int
-	Born    int64
-	// EventTokens is the number of tokens in one stream event.
-	EventTokens int
+	ID          string
+	Service     string
+	Domain      string
+	Version     string
+	Slots       int
+	StartedAtMs int64
+	// TokensPerEvent is the number of tokens in one stream event.
+	TokensPerEvent int
 }
 
 // Scheduler holds the state of all engines and waiting requests. It is not safe for
@@ -82,7 +82,7 @@
 				e.setShared(now, s.unheardShare)
 			}
 		}
-		if e == nil || e.Born != u.Born {
+		if e == nil || e.StartedAtMs != u.StartedAtMs {
 			e = newEngine(now, u, s.timing(u.Service))
 			e.setShared(now, s.unheardShare)
 			s.applyRestoredSpeed(e)
@@ -103,7 +103,7 @@
 	unlisted := make(map[string]*engine)
 	for _, e := range s.byRun {
 		// If two processes have used the same ID, the later one wins.
-		if other := unlisted[e.ID]; s.engines[e.ID] == nil && (other == nil || other.Born < e.Born) {
+		if other := unlisted[e.ID]; s.engines[e.ID] == nil && (other == nil || other.StartedAtMs < e.StartedAtMs) {
 			unlisted[e.ID] = e
 		}
 	}
--- a/internal/sched/board/board_bench_test.go
+++ b/internal/sched/board/board_bench_test.go
@@ -28,11 +28,11 @@
 	for i := 0; b.Loop(); i++ {
 		id := strconv.Itoa(i)
 		a := newSlotRequest(now, "gateway", id)
-		a.NextEventDue, a.MaxGap = now.Add(time.Hour), 0
+		a.NextEventDue, a.EventGapTarget = now.Add(time.Hour), 0
 		full.Submit(now, a)
 		full.Release(now, "gateway", strconv.Itoa(i-count*slots-waiting), answeredEnd)
-		for _, v := range full.Decisions() {
-			full.Started(now, v.Owner, v.ID, -1)
+		for _, d := range full.Decisions() {
+			full.Started(now, d.Owner, d.ID, -1)
 		}
 	}
 }
@@ -44,11 +44,11 @@
 	full.SetUpstreams(startTime, newEngines(count, slots))
 	for i := -count*slots - waiting; i < 0; i++ {
 		a := newSlotRequest(startTime, "gateway", strconv.Itoa(i))
-		a.NextEventDue, a.MaxGap, a.PromptTokens = startTime.Add(time.Hour), 0, 1
+		a.NextEventDue, a.EventGapTarget, a.PromptTokens = startTime.Add(time.Hour), 0, 1
 		full.Submit(startTime, a)
 	}
-	for _, v := range full.Decisions() {
-		full.Started(startTime, v.Owner, v.ID, -1)
+	for _, d := range full.Decisions() {
+		full.Started(startTime, d.Owner, d.ID, -1)
 	}
 	return full
 }
--- a/internal/sched/board/broken_test.go
+++ b/internal/sched/board/broken_test.go
@@ -20,9 +20,9 @@
 		b.Submit(startTime, newSlotRequest(startTime, "gateway", "before"+strconv.Itoa(i)))
 	}
 	var broken []string
-	for _, v := range b.Decisions() {
-		if v.Upstream == "e0" {
-			broken = append(broken, v.ID)
+	for _, d := range b.Decisions() {
+		if d.Upstream == "e0" {
+			broken = append(broken, d.ID)
 		}
 	}
 	require.NotEmpty(t, broken)
@@ -45,7 +45,7 @@
 	for i := range 10 {
 		id := "r" + strconv.Itoa(i)
 		a := newSlotRequest(now, "gateway", id)
-		a.Exclude = []string{"e1"}
+		a.ExcludedUpstreams = []string{"e1"}
 		b.Submit(now, a)
 		now = now.Add(200 * time.Millisecond)
 		end := board.SlotResult{Outcome: board.Interrupted}
@@ -59,7 +59,7 @@
 	for i := range 6 {
 		b.Submit(now, newSlotRequest(now, "gateway", "after"+strconv.Itoa(i)))
 	}
-	for _, v := range b.Decisions() {
-		require.Equal(t, "e1", v.Upstream)
+	for _, d := range b.Decisions() {
+		require.Equal(t, "e1", d.Upstream)
 	}
 }
--- a/internal/sched/board/gone_test.go
+++ b/internal/sched/board/gone_test.go
@@ -22,9 +22,9 @@
 	b.Submit(startTime, newSlotRequest(startTime, "gateway", "new"))
 
 	b.SetUpstreams(startTime, newEngines(1, 1))
-	for _, v := range decisions {
-		if v.Upstream == "e1" {
-			b.Release(startTime, "gateway", v.ID, board.SlotResult{Outcome: board.Answered})
+	for _, d := range decisions {
+		if d.Upstream == "e1" {
+			b.Release(startTime, "gateway", d.ID, board.SlotResult{Outcome: board.Answered})
 		}
 	}
 	require.Zero(t, countGranted(b.Decisions()))
--- a/internal/sched/board/learned_test.go
+++ b/internal/sched/board/learned_test.go
@@ -28,11 +28,11 @@
 	isGranted := func(engine, id string, due time.Duration) bool {
 		now = now.Add(time.Second)
 		a := newSlotRequest(now, "gateway", id)
-		a.PromptTokens, a.NextEventDue, a.MaxGap = 12_000, now.Add(due), 0
+		a.PromptTokens, a.NextEventDue, a.EventGapTarget = 12_000, now.Add(due), 0
 		if engine == "e0" {
-			a.Exclude = []string{"e1"}
+			a.ExcludedUpstreams = []string{"e1"}
 		} else {
-			a.Exclude = []string{"e0"}
+			a.ExcludedUpstreams = []string{"e0"}
 		}
 		b.Submit(now, a)
 		ok := countGranted(b.Decisions()) == 1
--- a/internal/sched/board/number_test.go
+++ b/internal/sched/board/number_test.go
@@ -11,7 +11,7 @@
 
 func newOneSlotScheduler(now time.Time) *board.Scheduler {
 	b := board.New()
-	b.SetUpstreams(now, []board.Upstream{{ID: "e0", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
+	b.SetUpstreams(now, []board.Upstream{{ID: "e0", Service: "tutor", Domain: "a", Slots: 1, TokensPerEvent: 6}})
 	return b
 }
 
@@ -30,10 +30,10 @@
 	b.Release(now, "gateway", "one", board.SlotResult{Outcome: board.Canceled, Number: 1})
 	b.Submit(now, newNumberedRequest(now, "two", 3))
 	grants := 0
-	for _, v := range b.Decisions() {
-		if v.Upstream != "" {
+	for _, d := range b.Decisions() {
+		if d.Upstream != "" {
 			grants++
-			require.Equal(t, uint64(2), v.Number)
+			require.Equal(t, uint64(2), d.Number)
 		}
 	}
 	require.Equal(t, 1, grants)
@@ -63,8 +63,8 @@
 	now := time.Now()
 	b := board.New()
 	b.SetUpstreams(now, []board.Upstream{
-		{ID: "e0", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6},
-		{ID: "e1", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6},
+		{ID: "e0", Service: "tutor", Domain: "a", Slots: 1, TokensPerEvent: 6},
+		{ID: "e1", Service: "tutor", Domain: "a", Slots: 1, TokensPerEvent: 6},
 	})
 	b.Submit(now, newNumberedRequest(now, "one", 1))
 	granted := b.Decisions()[0].Upstream
@@ -85,8 +85,8 @@
 	b.Submit(now, newNumberedRequest(now, "one", 1))
 	b.Release(now, "gateway", "one", board.SlotResult{Outcome: board.Canceled, Number: 1})
 	b.Submit(now, newNumberedRequest(now, "two", 3))
-	for _, v := range b.Decisions() {
-		require.Empty(t, v.Upstream, "the engine's slot is in use")
+	for _, d := range b.Decisions() {
+		require.Empty(t, d.Upstream, "the engine's slot is in use")
 	}
 	b.Reconcile(now, "gateway", []board.HeldSlot{{ID: "one", Number: 1, Upstream: "e0", PromptTokens: 1000, OutputTokens: 100}})
 	b.Release(now, "gateway", "one", board.SlotResult{Outcome: board.Answered, Number: 2})
--- a/internal/sched/board/overrun_test.go
+++ b/internal/sched/board/overrun_test.go
@@ -29,10 +29,10 @@
 	long := fits
 	long.ID, long.OutputTokens = "long", 1000
 	b.Submit(now, long)
-	v := b.Decisions()[0]
-	require.Empty(t, v.Upstream)
-	require.False(t, v.Waiting, "waiting would not make it shorter")
-	require.LessOrEqual(t, v.RetryAfter, 10*time.Millisecond, "another gateway has enough time")
+	d := b.Decisions()[0]
+	require.Empty(t, d.Upstream)
+	require.False(t, d.Waiting, "waiting would not make it shorter")
+	require.LessOrEqual(t, d.RetryAfter, 10*time.Millisecond, "another gateway has enough time")
 }
 
 // A stream that must end in time does not go to a newly registered engine whose speed is
@@ -104,7 +104,7 @@
 	b.Started(startTime.Add(100*time.Millisecond), short.Owner, short.ID, -1)
 	for i := range 4 {
 		prefill := newSlotRequest(startTime, "gateway", "prefill"+strconv.Itoa(i))
-		prefill.PromptTokens, prefill.MaxGap = 6000, 0
+		prefill.PromptTokens, prefill.EventGapTarget = 6000, 0
 		b.Submit(startTime.Add(110*time.Millisecond), prefill)
 	}
 	const took = 60 * time.Millisecond
--- a/internal/sched/board/place.go
+++ b/internal/sched/board/place.go
@@ -152,8 +152,8 @@
 	if firstEvent > available {
 		return 0, false
 	}
-	gap := profile.EventGapMs(max(1, e.EventTokens), running+1, e.prefillBacklog+req.PromptTokens, e.timing.prefillFactor) * e.slowness.factor
-	if running > 0 && req.MaxGap > 0 && gap > maxGapShare*ms(req.MaxGap) {
+	gap := profile.EventGapMs(max(1, e.TokensPerEvent), running+1, e.prefillBacklog+req.PromptTokens, e.timing.prefillFactor) * e.slowness.factor
+	if running > 0 && req.EventGapTarget > 0 && gap > maxGapShare*ms(req.EventGapTarget) {
 		return 0, false
 	}
 	if !e.endsInTime(now, req, firstEvent) || e.stalled(now) {
--- a/internal/sched/board/speeds.go
+++ b/internal/sched/board/speeds.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Speed is the learned speed of one engine. An engine that restarted has a different Born
-// and may run on other hardware.
+// Speed is the learned speed of one engine. An engine that restarted has a different
+// StartedAtMs and may run on other hardware.
 type Speed struct {
-	ID       string
-	Born     int64
-	Slowness float64
+	ID          string
+	StartedAtMs int64
+	Slowness    float64
 }
 
 // valid reports whether the slowness is within the allowed bounds.
@@ -21,7 +21,7 @@
 	var speeds []Speed
 	for _, e := range s.engines {
 		if e.slowness.known() {
-			speeds = append(speeds, Speed{ID: e.ID, Born: e.Born, Slowness: e.slowness.factor})
+			speeds = append(speeds, Speed{ID: e.ID, StartedAtMs: e.StartedAtMs, Slowness: e.slowness.factor})
 		}
 	}
 	slices.SortFunc(speeds, func(x, y Speed) int { return cmp.Compare(x.ID, y.ID) })
@@ -51,7 +51,7 @@
 
 // restoreSpeed sets the speed if it is valid and belongs to this start of the engine.
 func (e *engine) restoreSpeed(s Speed) {
-	if s.Born == e.Born && s.valid() {
+	if s.StartedAtMs == e.StartedAtMs && s.valid() {
 		e.slowness = estimate{factor: s.Slowness, evidence: maxEvidence}
 	}
 }
--- a/internal/sched/board/speeds_test.go
+++ b/internal/sched/board/speeds_test.go
@@ -31,9 +31,9 @@
 // The speed of an engine does not apply to another one that replaces it under the same ID.
 func TestSpeedIsDiscardedWhenEngineIsReplaced(t *testing.T) {
 	b := board.New()
-	b.RestoreSpeeds([]board.Speed{{ID: "e0", Born: 1, Slowness: 2.8}})
+	b.RestoreSpeeds([]board.Speed{{ID: "e0", StartedAtMs: 1, Slowness: 2.8}})
 	replaced := newEngines(1, 12)
-	replaced[0].Born = 2
+	replaced[0].StartedAtMs = 2
 	b.SetUpstreams(startTime, replaced)
 	require.Empty(t, b.Speeds())
 }
@@ -43,7 +43,7 @@
 	a := newSlotRequest(startTime, "learner", engine)
 	for _, other := range []string{"e0", "e1"} {
 		if other != engine {
-			a.Exclude = append(a.Exclude, other)
+			a.ExcludedUpstreams = append(a.ExcludedUpstreams, other)
 		}
 	}
 	const tokens, ordinaryStep = 100, 3.35
--- a/internal/sched/board/stalled_test.go
+++ b/internal/sched/board/stalled_test.go
@@ -37,8 +37,8 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		b.Submit(later, newSlotRequest(later, "gateway", id))
 	}
-	for _, v := range b.Decisions() {
-		require.NotEqual(t, stalled, v.Upstream)
+	for _, d := range b.Decisions() {
+		require.NotEqual(t, stalled, d.Upstream)
 	}
 }
 
--- a/internal/sched/board/sync_test.go
+++ b/internal/sched/board/sync_test.go
@@ -15,7 +15,7 @@
 func newEngines(count, slots int) []board.Upstream {
 	var all []board.Upstream
 	for i := range count {
-		all = append(all, board.Upstream{ID: "e" + strconv.Itoa(i), Service: "tutor", Domain: "a", Slots: slots, EventTokens: 6})
+		all = append(all, board.Upstream{ID: "e" + strconv.Itoa(i), Service: "tutor", Domain: "a", Slots: slots, TokensPerEvent: 6})
 	}
 	return all
 }
@@ -23,14 +23,14 @@
 func newSlotRequest(now time.Time, owner, id string) board.SlotRequest {
 	return board.SlotRequest{
 		Owner: owner, ID: id, Service: "tutor", Domain: "a", NextEventDue: now.Add(600 * time.Millisecond),
-		Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100, MaxGap: 250 * time.Millisecond,
+		Deadline: now.Add(15 * time.Second), PromptTokens: 1000, OutputTokens: 100, EventGapTarget: 250 * time.Millisecond,
 	}
 }
 
 func countGranted(decisions []board.Decision) int {
 	n := 0
-	for _, v := range decisions {
-		if v.Upstream != "" {
+	for _, d := range decisions {
+		if d.Upstream != "" {
 			n++
 		}
 	}
--- a/internal/sched/granter/granter.go
+++ b/internal/sched/granter/granter.go
@@ -92,8 +92,8 @@
 		default:
 		}
 	}
-	for _, v := range decisions {
-		g.deliver(v)
+	for _, d := range decisions {
+		g.deliver(d)
 	}
 }
 
--- a/internal/sched/granter/granter_test.go
+++ b/internal/sched/granter/granter_test.go
@@ -28,7 +28,7 @@
 		defer r.mu.Unlock()
 		r.decisions = append(r.decisions, d)
 	}, slog.New(slog.DiscardHandler))
-	r.SetUpstreams([]board.Upstream{{ID: "engine", Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
+	r.SetUpstreams([]board.Upstream{{ID: "engine", Service: "tutor", Domain: "a", Slots: 1, TokensPerEvent: 6}})
 	return r
 }
 
--- a/internal/sched/permit/permit.go
+++ b/internal/sched/permit/permit.go
@@ -231,7 +231,7 @@
 		DueMs: req.NextEventDue.Sub(now).Milliseconds(), UntilMs: req.Deadline.Sub(now).Milliseconds(),
 		Prompt: uint32(req.PromptTokens), Output: uint32(req.OutputTokens), MaxGapMs: uint32(req.Route.EventGapTarget.Milliseconds()),
 		Exclude: req.ExcludedUpstreams, Again: req.Resent, Fingerprint: req.Fingerprint,
-		OnlyVersion: req.RequiredVersion, NotVersion: req.ExcludedVersion, End: endingMessage(req.EndConstraint),
+		OnlyVersion: req.RequiredVersion, NotVersion: req.ExcludedVersion, End: endConstraintMessage(req.EndConstraint),
 	}}}
 }
 
--- a/internal/sched/permit/permit_test.go
+++ b/internal/sched/permit/permit_test.go
@@ -58,7 +58,7 @@
 				time.AfterFunc(latency, func() { client.HandleDecision(permit.DecisionMessage(d).GetPlaceVerdict()) })
 			}
 		}, slog.New(slog.DiscardHandler))
-		scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, EventTokens: 6}})
+		scheduler.SetUpstreams([]board.Upstream{{ID: engine.ID, Service: "tutor", Domain: "a", Slots: 1, TokensPerEvent: 6}})
 		client = permit.New(permit.Dependencies{
 			Node: "gateway", Domain: "a", Scheduler: func(time.Time) string { return "scheduler" },
 			Send: func(_ string, e *wire.Envelope) bool {
--- a/internal/sched/permit/serve.go
+++ b/internal/sched/permit/serve.go
@@ -36,13 +36,13 @@
 		Owner: owner, ID: a.Id, Number: a.Number, Service: a.Service, Domain: a.Domain, Tier: int(a.Tier),
 		NextEventDue: now.Add(time.Duration(a.DueMs) * time.Millisecond),
 		Deadline:     now.Add(time.Duration(a.UntilMs) * time.Millisecond),
-		PromptTokens: int(a.Prompt), OutputTokens: int(a.Output), EndConstraint: decodeEnding(a.End), MaxGap: time.Duration(a.MaxGapMs) * time.Millisecond,
-		Exclude: a.Exclude, Resent: a.Again, Fingerprint: a.Fingerprint,
+		PromptTokens: int(a.Prompt), OutputTokens: int(a.Output), EndConstraint: decodeEndConstraint(a.End), EventGapTarget: time.Duration(a.MaxGapMs) * time.Millisecond,
+		ExcludedUpstreams: a.Exclude, Resent: a.Again, Fingerprint: a.Fingerprint,
 		RequiredVersion: a.OnlyVersion, ExcludedVersion: a.NotVersion,
 	}
 }
 
-func decodeEnding(e wire.PlaceAsk_End) board.EndConstraint {
+func decodeEndConstraint(e wire.PlaceAsk_End) board.EndConstraint {
 	switch e {
 	case wire.PlaceAsk_LIKELY:
 		return board.EndPreferred
@@ -52,7 +52,7 @@
 	return board.EndUnconstrained
 }
 
-func endingMessage(e flow.EndConstraint) wire.PlaceAsk_End {
+func endConstraintMessage(e flow.EndConstraint) wire.PlaceAsk_End {
 	switch e {
 	case flow.EndPreferred:
 		return wire.PlaceAsk_LIKELY
