--- a/cmd/persimmonridge/measure_moves.go
+++ b/cmd/persimmonridge/measure_moves.go
@@ -21,9 +21,9 @@
 func (c *movesCommand) Run() error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "trouble\tversion\tmoves\tcompleted in time\ttaken back\topen\tharmed, mean\tharmed, worst\tshare while faulty, worst\tfirst fault to none, p50\tworst")
-	for _, trouble := range moves.Disturbances() {
+	for _, disturbance := range moves.Disturbances() {
 		for _, kind := range moves.Kinds() {
-			if err := c.row(table, trouble, kind); err != nil {
+			if err := c.row(table, disturbance, kind); err != nil {
 				return err
 			}
 		}
@@ -31,12 +31,12 @@
 	return table.Flush()
 }
 
-func (c *movesCommand) row(table *tabwriter.Writer, trouble moves.Disturbance, kind moves.Kind) error {
-	completed, takenBack, open, harmed, worstHarm := 0, 0, 0, 0, 0
+func (c *movesCommand) row(table *tabwriter.Writer, disturbance moves.Disturbance, kind moves.Kind) error {
+	completed, takenBack, open, affected, maxAffected := 0, 0, 0, 0, 0
 	share := 0.0
 	var times []time.Duration
 	for seed := range c.Seeds {
-		o, err := moves.Run(moves.Setting{Seed: uint64(seed + 1), Kind: kind, Disturbance: trouble, Rate: c.Rate, Span: c.Span})
+		o, err := moves.Run(moves.Setting{Seed: uint64(seed + 1), Kind: kind, Disturbance: disturbance, Rate: c.Rate, Span: c.Span})
 		if err != nil {
 			return err
 		}
@@ -48,13 +48,13 @@
 		default:
 			open++
 		}
-		harmed += o.Affected
-		worstHarm = max(worstHarm, o.Affected)
+		affected += o.Affected
+		maxAffected = max(maxAffected, o.Affected)
 		share = max(share, o.MaxFaultyShare)
 		times = append(times, o.FaultToLastRequest)
 	}
 	sort.Slice(times, func(i, j int) bool { return times[i] < times[j] })
-	fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.0f%%\t%s\t%s\n", trouble, kind, c.Seeds, completed, takenBack, open,
-		float64(harmed)/float64(c.Seeds), worstHarm, 100*share, times[len(times)/2].Round(time.Second), times[len(times)-1].Round(time.Second))
+	fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%.1f\t%d\t%.0f%%\t%s\t%s\n", disturbance, kind, c.Seeds, completed, takenBack, open,
+		float64(affected)/float64(c.Seeds), maxAffected, 100*share, times[len(times)/2].Round(time.Second), times[len(times)-1].Round(time.Second))
 	return nil
 }
--- a/cmd/persimmonridge/try.go
+++ b/cmd/persimmonridge/try.go
@@ -36,21 +36,21 @@
 	if err != nil {
 		return err
 	}
-	shape, err := fleet.NewSpec(inventoryFile, rulesFile, c.Seed)
+	spec, err := fleet.NewSpec(inventoryFile, rulesFile, c.Seed)
 	if err != nil {
 		return err
 	}
-	plan, tiers, err := fleet.NewLoadPlan(shape, c.Duration)
+	plan, tiers, err := fleet.NewLoadPlan(spec, c.Duration)
 	if err != nil {
 		return err
 	}
 	logger := c.logger()
 	invariants := invariant.New(logger)
-	site, err := fleet.New(shape, logger, invariants)
+	site, err := fleet.New(spec, logger, invariants)
 	if err != nil {
 		return err
 	}
-	callers := load.New(plan, shape.Network, site.URLs)
+	callers := load.New(plan, spec.Network, site.URLs)
 	c.runLoad(ctx, callers)
 	r := report.New(c.Seed, c.Duration, tiers, callers.Samples())
 	r.DoubledActions, r.InvariantBreaches = site.Effects().Doubled(), invariants.Total()
--- a/internal/role/agent/agent.go
+++ b/internal/role/agent/agent.go
@@ -73,7 +73,7 @@
 	dispatched   map[string]time.Time
 	board        *evidence.Board
 	boardRollout string
-	versionBrake *evidence.Breaker
+	breaker      *evidence.Breaker
 	lastSweep    time.Time
 	crashes      uint64
 	crashedAt    time.Time
@@ -108,25 +108,25 @@
 func New(s settings.Agent, listener net.Listener, incarnation uint64, logger *slog.Logger, now func() time.Time, options ...Option) *Agent {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &Agent{
-		settings:     s,
-		logger:       logger,
-		now:          now,
-		incarnation:  incarnation,
-		startedAt:    now(),
-		dialer:       &net.Dialer{Timeout: dialTimeout},
-		suspects:     suspect.New(),
-		changed:      control.NewSignal(),
-		evidence:     control.NewSignal(),
-		forecast:     forecast.New(),
-		limit:        limit.New(limit.NewTargets(s.TokenGap(), s.FirstToken()), firstLimit(s), 1, s.MaxLimit()),
-		prefixCache:  prefixcache.New(),
-		runs:         make(map[string]*run),
-		withdrawn:    make(map[string]time.Time),
-		dispatched:   make(map[string]time.Time),
-		board:        evidence.NewBoard(),
-		versionBrake: evidence.NewBreaker(),
-		ctx:          ctx,
-		cancel:       cancel,
+		settings:    s,
+		logger:      logger,
+		now:         now,
+		incarnation: incarnation,
+		startedAt:   now(),
+		dialer:      &net.Dialer{Timeout: dialTimeout},
+		suspects:    suspect.New(),
+		changed:     control.NewSignal(),
+		evidence:    control.NewSignal(),
+		forecast:    forecast.New(),
+		limit:       limit.New(limit.NewTargets(s.TokenGap(), s.FirstToken()), firstLimit(s), 1, s.MaxLimit()),
+		prefixCache: prefixcache.New(),
+		runs:        make(map[string]*run),
+		withdrawn:   make(map[string]time.Time),
+		dispatched:  make(map[string]time.Time),
+		board:       evidence.NewBoard(),
+		breaker:     evidence.NewBreaker(),
+		ctx:         ctx,
+		cancel:      cancel,
 	}
 	for _, option := range options {
 		option(a)
--- a/internal/role/agent/execute.go
+++ b/internal/role/agent/execute.go
@@ -84,7 +84,7 @@
 	}
 	a.resetBoard()
 	a.board.Observe(a.settings.Version(), r.evidenceRoute(), failed, normalizedLatency(now.Sub(r.startedAt), result.Tokens()))
-	a.brake(now, r, failed)
+	a.stopFaultyVersion(now, r, failed)
 	if _, moving := a.openRollout(); moving {
 		a.evidence.Raise()
 	}
@@ -98,7 +98,7 @@
 		return
 	}
 	a.boardRollout = rollout.Name()
-	a.board, a.versionBrake = evidence.NewBoard(), evidence.NewBreaker()
+	a.board, a.breaker = evidence.NewBoard(), evidence.NewBreaker()
 }
 
 // normalizedLatency makes latencies of responses of different lengths
@@ -123,15 +123,15 @@
 	return document.Move{}, false
 }
 
-// brake stops this upstream if a rollout to its version is open and its own
-// evidence shows a fault. This needs neither the store nor an entry. A version
+// stopFaultyVersion stops this upstream if a rollout to its version is open and its
+// own evidence shows a fault. This needs neither the store nor an entry. A version
 // that is not in rollout is never stopped, as no other version could take over.
-func (a *Agent) brake(now time.Time, r *run, failed bool) {
+func (a *Agent) stopFaultyVersion(now time.Time, r *run, failed bool) {
 	rollout, open := a.openRollout()
 	if !open || rollout.To() != a.settings.Version() || a.admission.Blocked() != wire.Decline_REASON_UNSPECIFIED {
 		return
 	}
-	if !a.versionBrake.Observe(r.evidenceRoute(), failed) {
+	if !a.breaker.Observe(r.evidenceRoute(), failed) {
 		return
 	}
 	tally := a.board.Get(rollout.To(), r.evidenceRoute())
--- a/internal/role/entry/attempt.go
+++ b/internal/role/entry/attempt.go
@@ -132,7 +132,7 @@
 		Tier: uint32(q.Tier()), DeadlineMs: uint32(left.Milliseconds()), ExpectedMs: uint32(c.work.Milliseconds()),
 		StartByClockMs: clock + uint64(horizon.Milliseconds()),
 		RepeatSafe:     q.RepeatSafe(), Keyed: q.Keyed(),
-		Fingerprint: q.Fingerprint(), PrefixKey: q.PrefixKey(), PrefixTokens: uint32(q.PrefixTokens()), PatienceMs: uint32(c.patience.Milliseconds()),
+		Fingerprint: q.Fingerprint(), PrefixKey: q.PrefixKey(), PrefixTokens: uint32(q.PrefixTokens()), PatienceMs: uint32(c.queueTimeout.Milliseconds()),
 		Method: q.Method(), Path: q.Path(), Body: q.Body(),
 		Suspect: a.entry.suspects.Status(now, q.Fingerprint()) == suspect.Suspected,
 	}
--- a/internal/role/entry/choose.go
+++ b/internal/role/entry/choose.go
@@ -37,10 +37,10 @@
 	// rank is the cost by the index; the lowest is tried first.
 	rank float64
 	work time.Duration
-	// wait is the predicted queueing time there, and patience the queueing time
+	// wait is the predicted queueing time there, and queueTimeout the time
 	// after which the request is handed back, 0 for no limit.
-	wait     time.Duration
-	patience time.Duration
+	wait         time.Duration
+	queueTimeout time.Duration
 }
 
 // plan returns the upstreams to try, ordered by the index, out of the initial
--- a/internal/role/entry/rollouts.go
+++ b/internal/role/entry/rollouts.go
@@ -32,7 +32,7 @@
 	evidenceBytesPerSecond = 1500
 	// minEvidenceInterval and maxEvidenceInterval bound how often agents send
 	// evidence. In a large fleet the lease holder detects a fault later; the
-	// brakes of agents and entries act without it.
+	// breakers of agents and entries act without it.
 	minEvidenceInterval = time.Second
 	maxEvidenceInterval = time.Minute
 )
@@ -51,7 +51,7 @@
 
 // localRollout is the state of a rollout based on this entry's own requests.
 type localRollout struct {
-	brake   *evidence.Breaker
+	breaker *evidence.Breaker
 	stopped bool
 }
 
@@ -60,7 +60,7 @@
 	incarnation uint64
 	service     string
 	version     string
-	braked      bool
+	stopped     bool
 	board       *evidence.Board
 }
 
@@ -114,15 +114,15 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.braked(rollout) > 0
+	return m.stoppedUpstreams(rollout) > 0
 }
 
-// braked returns the number of upstreams of the new version that were stopped
-// by their agents. The caller holds the lock.
-func (m *rollouts) braked(rollout document.Move) int {
+// stoppedUpstreams returns the number of upstreams of the new version that were
+// stopped by their agents. The caller holds the lock.
+func (m *rollouts) stoppedUpstreams(rollout document.Move) int {
 	count := 0
 	for _, r := range m.reports {
-		if r.service == rollout.Service() && r.version == rollout.To() && r.braked {
+		if r.service == rollout.Service() && r.version == rollout.To() && r.stopped {
 			count++
 		}
 	}
@@ -159,14 +159,14 @@
 	defer m.mu.Unlock()
 	known := m.local[rollout.Name()]
 	if known == nil {
-		known = &localRollout{brake: evidence.NewBreaker()}
+		known = &localRollout{breaker: evidence.NewBreaker()}
 		m.local[rollout.Name()] = known
 	}
 	if known.stopped || u.Version() != rollout.To() {
 		return
 	}
 	route := q.Workspace() + "/" + q.Action().Route()
-	if known.brake.Observe(route, failed) {
+	if known.breaker.Observe(route, failed) {
 		known.stopped = true
 		m.entry.logger.Warn("version stopped by this entry", "move", rollout.Name(), "version", rollout.To(), "route", route, "request", q.ID())
 	}
@@ -176,7 +176,7 @@
 func (m *rollouts) recordReport(u *member.Upstream, n *wire.Notice) {
 	r := report{
 		incarnation: n.GetLoad().GetIncarnation(), service: u.Service(), version: u.Version(),
-		braked: n.GetLoad().GetBlocked() == wire.Decline_REASON_BRAKED, board: evidence.NewBoard(),
+		stopped: n.GetLoad().GetBlocked() == wire.Decline_REASON_BRAKED, board: evidence.NewBoard(),
 	}
 	for _, part := range n.GetEvidence() {
 		r.board.Set(part.GetVersion(), part.GetRoute(), evidence.FromCounts(part.GetRuns(), part.GetFailures(), part.GetLatencyBuckets()))
@@ -300,7 +300,7 @@
 	if base.stage != state.Stage() || !base.since.Equal(state.Since()) {
 		base.stage, base.since, base.board = state.Stage(), state.Since(), all
 	}
-	return move.Observed{All: all, Stage: all.Since(base.board), Fault: base.watch.Update(all, rollout.From(), rollout.To()), StoppedUpstreams: m.braked(rollout), Ready: m.ready(now, rollout)}
+	return move.Observed{All: all, Stage: all.Since(base.board), Fault: base.watch.Update(all, rollout.From(), rollout.To()), StoppedUpstreams: m.stoppedUpstreams(rollout), Ready: m.ready(now, rollout)}
 }
 
 func (m *rollouts) ready(now time.Time, rollout document.Move) bool {
--- a/internal/role/entry/search.go
+++ b/internal/role/entry/search.go
@@ -12,10 +12,10 @@
 	// maxHandbacks is how often a waiting request may be handed back and placed
 	// again before it stays in its queue.
 	maxHandbacks = 3
-	// patienceFactor and patienceSlack compute the accepted queueing time from
-	// the predicted one.
-	patienceFactor = 1.5
-	patienceSlack  = 150 * time.Millisecond
+	// queueTimeoutFactor and queueTimeoutSlack compute the accepted queueing time
+	// from the predicted one.
+	queueTimeoutFactor = 1.5
+	queueTimeoutSlack  = 150 * time.Millisecond
 	// restartWait is how long a request waits for agents that are being
 	// replaced. It is well above the time that an entry needs to link with a new
 	// process.
@@ -29,7 +29,7 @@
 	call *call
 	// declined holds upstreams that will not run the request.
 	declined map[string]bool
-	// handedBack holds upstreams that handed the request back after its patience.
+	// handedBack holds upstreams that handed the request back after its queue timeout.
 	handedBack map[string]bool
 	handbacks  int
 	// restartDeadline ends the wait for agents that are being replaced. It is
@@ -104,14 +104,14 @@
 	return s.nextCandidate(now)
 }
 
-// patience returns how long the request may wait in the queue there before it
+// queueTimeout returns how long the request may wait in the queue there before it
 // is handed back, or 0 if it must not be. It is limited because an entry's view
 // is stale: others may have chosen the same upstream at the same time.
-func (s *search) patience(c choice) time.Duration {
+func (s *search) queueTimeout(c choice) time.Duration {
 	if s.noHandback || s.handbacks >= maxHandbacks {
 		return 0
 	}
-	return time.Duration(patienceFactor*float64(c.wait)) + patienceSlack
+	return time.Duration(queueTimeoutFactor*float64(c.wait)) + queueTimeoutSlack
 }
 
 // recordDecline records a decline of the request.
--- a/internal/role/entry/serve.go
+++ b/internal/role/entry/serve.go
@@ -134,7 +134,7 @@
 		if !ok || now.After(c.request.Deadline()) {
 			return last
 		}
-		next.patience = s.patience(next)
+		next.queueTimeout = s.queueTimeout(next)
 		if !before(next) {
 			return result{ending: notRun, reason: wire.Decline_REASON_WITHDRAWN}
 		}
--- a/internal/trial/moves/moves.go
+++ b/internal/trial/moves/moves.go
@@ -97,24 +97,24 @@
 
 // simulation is the state of one simulated move.
 type simulation struct {
-	setting       Setting
-	random        *rand.Rand
-	rule          rules.Move
-	start         time.Time
-	state         document.MoveState
-	hasState      bool
-	boards        [2][upstreams]*evidence.Board
-	agentBraked   [upstreams]bool
-	firstBrakedAt time.Time
-	watch         *evidence.Watch
-	agentBrakes   [upstreams]*evidence.Breaker
-	entryBrakes   [entries]*evidence.Breaker
-	entryStopped  [entries]bool
-	stage         *evidence.Board
-	stageState    document.MoveState
-	outcome       Outcome
-	firstFaultAt  time.Time
-	lastNewRunAt  time.Time
+	setting        Setting
+	random         *rand.Rand
+	rule           rules.Move
+	start          time.Time
+	state          document.MoveState
+	hasState       bool
+	boards         [2][upstreams]*evidence.Board
+	agentStopped   [upstreams]bool
+	firstStoppedAt time.Time
+	watch          *evidence.Watch
+	agentBreakers  [upstreams]*evidence.Breaker
+	entryBreakers  [entries]*evidence.Breaker
+	entryStopped   [entries]bool
+	stage          *evidence.Board
+	stageState     document.MoveState
+	outcome        Outcome
+	firstFaultAt   time.Time
+	lastNewRunAt   time.Time
 }
 
 // Run simulates one move to its end.
@@ -156,11 +156,11 @@
 			sim.boards[version][i] = evidence.NewBoard()
 		}
 	}
-	for i := range sim.agentBrakes {
-		sim.agentBrakes[i] = evidence.NewBreaker()
+	for i := range sim.agentBreakers {
+		sim.agentBreakers[i] = evidence.NewBreaker()
 	}
-	for i := range sim.entryBrakes {
-		sim.entryBrakes[i] = evidence.NewBreaker()
+	for i := range sim.entryBreakers {
+		sim.entryBreakers[i] = evidence.NewBreaker()
 	}
 	return sim, nil
 }
@@ -188,7 +188,7 @@
 	route := fmt.Sprintf("route-%d", sim.random.IntN(routes))
 	onNew := sim.routesToNew(now, entry, fmt.Sprintf("%d-%d", sim.setting.Seed, number))
 	upstream := sim.random.IntN(upstreams)
-	if onNew && sim.agentBraked[upstream] {
+	if onNew && sim.agentStopped[upstream] {
 		onNew = false
 	}
 	failed, latency := sim.run(now, onNew, route)
@@ -199,7 +199,7 @@
 	}
 	board := sim.boards[version][upstream]
 	board.Observe([]string{"old", "new"}[version], route, failed, latency)
-	sim.updateBrakes(now, onNew, entry, upstream, route, failed)
+	sim.updateBreakers(now, onNew, entry, upstream, route, failed)
 }
 
 func (sim *simulation) routesToNew(now time.Time, entry int, id string) bool {
@@ -209,8 +209,8 @@
 	if sim.state.Verdict() == document.Completed {
 		return true
 	}
-	brakeKnown := !sim.firstBrakedAt.IsZero() && now.Sub(sim.firstBrakedAt) > propagationDelay
-	return !brakeKnown && move.InShare(sim.rule, id, sim.state.Share())
+	stopKnown := !sim.firstStoppedAt.IsZero() && now.Sub(sim.firstStoppedAt) > propagationDelay
+	return !stopKnown && move.InShare(sim.rule, id, sim.state.Share())
 }
 
 // run draws the result and latency of one run.
@@ -254,20 +254,20 @@
 	return false
 }
 
-// updateBrakes records the result of a run on the new version in the brakes of its agent
-// and entry, which need neither the store nor the leader of the move.
-func (sim *simulation) updateBrakes(now time.Time, onNew bool, entry, upstream int, route string, failed bool) {
+// updateBreakers records the result of a run on the new version in the breakers of its
+// agent and entry, which need neither the store nor the leader of the move.
+func (sim *simulation) updateBreakers(now time.Time, onNew bool, entry, upstream int, route string, failed bool) {
 	moving := sim.hasState && sim.state.Verdict() == document.Moving
 	if !onNew || !moving {
 		return
 	}
-	if sim.agentBrakes[upstream].Observe(route, failed) {
-		sim.agentBraked[upstream] = true
-		if sim.firstBrakedAt.IsZero() {
-			sim.firstBrakedAt = now
+	if sim.agentBreakers[upstream].Observe(route, failed) {
+		sim.agentStopped[upstream] = true
+		if sim.firstStoppedAt.IsZero() {
+			sim.firstStoppedAt = now
 		}
 	}
-	sim.entryStopped[entry] = sim.entryBrakes[entry].Observe(route, failed) || sim.entryStopped[entry]
+	sim.entryStopped[entry] = sim.entryBreakers[entry].Observe(route, failed) || sim.entryStopped[entry]
 }
 
 // step runs one step of the process that leads the move. Nothing is recorded during a
@@ -295,13 +295,13 @@
 	if sim.state != sim.stageState {
 		sim.stage, sim.stageState = merged, sim.state
 	}
-	braked := 0
-	for _, isBraked := range sim.agentBraked {
-		if isBraked {
-			braked++
+	stoppedUpstreams := 0
+	for _, isStopped := range sim.agentStopped {
+		if isStopped {
+			stoppedUpstreams++
 		}
 	}
-	next, changed := move.Step(now, sim.rule, sim.state, sim.hasState, move.Observed{All: merged, Stage: merged.Since(sim.stage), Fault: sim.watch.Update(merged, "old", "new"), StoppedUpstreams: braked, Ready: true})
+	next, changed := move.Step(now, sim.rule, sim.state, sim.hasState, move.Observed{All: merged, Stage: merged.Since(sim.stage), Fault: sim.watch.Update(merged, "old", "new"), StoppedUpstreams: stoppedUpstreams, Ready: true})
 	if changed {
 		sim.state, sim.hasState = next, true
 	}
